--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -0,0 +1,344 @@
+package org.mustardlatch.gateway;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.IntSupplier;
+import java.util.random.RandomGenerator;
+import java.util.stream.Collectors;
+import org.jspecify.annotations.Nullable;
+import org.mustardlatch.core.balancing.Balancer;
+import org.mustardlatch.core.balancing.Candidate;
+import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.error.ErrorCode;
+import org.mustardlatch.core.model.UpstreamId;
+import org.mustardlatch.core.time.TimerService;
+import org.mustardlatch.core.time.TimerSubscription;
+import org.mustardlatch.gateway.config.Instance;
+import org.mustardlatch.gateway.http.Call;
+import org.mustardlatch.gateway.http.CallFailure;
+import org.mustardlatch.gateway.http.CallerExchange;
+import org.mustardlatch.gateway.http.CollectedAnswer;
+import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.log.EventLog;
+import org.mustardlatch.gateway.log.LogEvent;
+
+/**
+ * Handles requests to application services: selects an upstream with the {@link Balancer}, sends
+ * the request, retries it within a budget and returns the response to the caller.
+ *
+ * <p>Used on the event loop of the data path only.
+ */
+final class ApplicationRequestHandler {
+  private static final int MAX_REFUSALS = 3;
+  // An idempotent request without a response after this multiple of its predicted time is sent to a
+  // second upstream as well.
+  private static final double SLOW_RESPONSE_FACTOR = 3;
+  private static final Duration MIN_SLOW_RESPONSE_DELAY = Duration.ofMillis(60);
+  private static final int MIN_SERVER_ERROR_STATUS = 500;
+
+  private final FleetState fleet;
+  private final TimerService timers;
+  private final NetworkLatencyEstimates networkLatency;
+  private final GatewaySettings settings;
+  private final RandomGenerator random;
+  private final Balancer balancer = new Balancer();
+  private final Map<String, RepeatBudget> retryBudgets = new HashMap<>();
+  private final Map<CallerExchange, ActiveRequest> activeRequests = new HashMap<>();
+  private final PlatformProtocol protocol;
+  private final GatewayMetrics metrics;
+  private final IntSupplier liveNodeCount;
+
+  ApplicationRequestHandler(
+      FleetState fleet,
+      TimerService timers,
+      GatewaySettings settings,
+      PlatformProtocol protocol,
+      RandomGenerator random,
+      GatewayMetrics metrics,
+      IntSupplier liveNodeCount) {
+    this.liveNodeCount = liveNodeCount;
+    this.metrics = metrics;
+    this.fleet = fleet;
+    this.timers = timers;
+    this.settings = settings;
+    this.protocol = protocol;
+    this.random = random;
+    this.networkLatency = new NetworkLatencyEstimates(settings);
+  }
+
+  /** Returns the number of requests in progress. */
+  int openRequests() {
+    return activeRequests.size();
+  }
+
+  /** Sends a request to an upstream and credits the retry budget of its service. */
+  void start(RoutedExchange exchange) {
+    ActiveRequest request = new ActiveRequest(exchange);
+    activeRequests.put(exchange.caller(), request);
+    retryBudget(exchange.service().name()).earn(settings.retryBudgetRatio() / 2);
+    request.start();
+  }
+
+  /**
+   * Cancels the request of a caller that disconnected.
+   *
+   * @return whether this handler had a request of that caller
+   */
+  boolean callerDisconnected(CallerExchange caller) {
+    ActiveRequest request = activeRequests.get(caller);
+    if (request != null) {
+      request.close();
+      request.exchange.recordOutcome("caller_left", null, 0);
+    }
+    return request != null;
+  }
+
+  private RepeatBudget retryBudget(String service) {
+    return retryBudgets.computeIfAbsent(
+        service, s -> RetryLimits.budgetPerNode(settings, liveNodeCount.getAsInt()));
+  }
+
+  private List<Candidate> candidates(ActiveRequest request) {
+    List<Candidate> result = new ArrayList<>();
+    for (Instance i : fleet.instancesForNewWork(request.exchange.service().name())) {
+      result.add(
+          new Candidate(
+              new UpstreamId(i.id()), i.slots(), networkLatency.roundTripNanos(i.zone())));
+    }
+    return result;
+  }
+
+  /** A caller's request and its attempts on one or more upstreams. */
+  private final class ActiveRequest {
+    private final RoutedExchange exchange;
+    private final Set<UpstreamId> attemptedUpstreams = new HashSet<>();
+    private final List<Attempt> activeAttempts = new ArrayList<>();
+    private int attemptCount;
+    private int refusalCount;
+    private @Nullable UpstreamAnswer serverError;
+    private @Nullable TimerSubscription deadlineTimer;
+    private @Nullable TimerSubscription slowResponseTimer;
+
+    ActiveRequest(RoutedExchange exchange) {
+      this.exchange = exchange;
+    }
+
+    void start() {
+      Duration remaining = Duration.ofNanos(exchange.deadlineNanos() - timers.nanos());
+      deadlineTimer = timers.schedule(remaining, this::onDeadline);
+      sendToNextUpstream("first");
+    }
+
+    /** Acquires a unit of the retry budget if the request may be sent again. */
+    private boolean acquireRetry() {
+      return exchange.route().repeatable()
+          && attemptCount < exchange.route().maxAttempts()
+          && retryBudget(exchange.service().name()).take();
+    }
+
+    /**
+     * Sends the request to the upstream with the shortest predicted response time among those not
+     * attempted yet.
+     *
+     * @param reason reason of this attempt, for the log
+     */
+    private void sendToNextUpstream(String reason) {
+      long now = timers.nanos();
+      Candidate c = balancer.choose(candidates(this), attemptedUpstreams, now);
+      Instance target = c == null ? null : fleet.instance(c.id().value());
+      if (c == null || target == null) {
+        failIfNoActiveAttempt(ErrorCode.UPSTREAM_UNAVAILABLE, "no usable upstream left");
+        return;
+      }
+      attemptedUpstreams.add(c.id());
+      attemptCount++;
+      long remaining = Math.max(1, (exchange.deadlineNanos() - now) / 1_000_000);
+      var plan = new UpstreamCallPlan(target, remaining, UpstreamCallPlan.WHOLE, null, null);
+      double predicted = balancer.predictedNanos(c, now);
+      EventLog.log(
+          LogEvent.REQUEST_SENT,
+          exchange.callerRequestId(),
+          exchange.localId(),
+          target.id(),
+          reason,
+          (long) (predicted / 1_000_000));
+      Attempt attempt = new Attempt(c.id(), now);
+      activeAttempts.add(attempt);
+      balancer.sent(c.id());
+      attempt.call = fleet.poolFor(target).send(exchange.toUpstreamRequest(plan), attempt);
+      scheduleSlowResponseCheck(predicted);
+    }
+
+    /** Schedules a second attempt for the case that the response of the first one is slow. */
+    private void scheduleSlowResponseCheck(double predictedNanos) {
+      if (exchange.route().repeatable() && slowResponseTimer == null) {
+        long delay =
+            Math.max(
+                MIN_SLOW_RESPONSE_DELAY.toNanos(), (long) (SLOW_RESPONSE_FACTOR * predictedNanos));
+        slowResponseTimer = timers.schedule(Duration.ofNanos(delay), this::onSlowResponse);
+      }
+    }
+
+    private void onSlowResponse() {
+      if (activeAttempts.size() == 1 && acquireRetry()) {
+        sendToNextUpstream("late_answer");
+      }
+    }
+
+    /** Ends the request with an error unless another attempt is still in progress. */
+    private void failIfNoActiveAttempt(ErrorCode code, String reason) {
+      if (!activeAttempts.isEmpty()) {
+        return;
+      }
+      UpstreamAnswer error = serverError;
+      close();
+      if (error != null) {
+        exchange.sendResponse(error, "last_server_error");
+      } else {
+        exchange.fail(code, reason, RetryLimits.retryAfter(exchange, timers.nanos(), random));
+      }
+    }
+
+    private void onDeadline() {
+      UpstreamAnswer error = serverError;
+      close();
+      if (error != null) {
+        exchange.sendResponse(error, "last_server_error");
+      } else {
+        exchange.fail(ErrorCode.DEADLINE_EXCEEDED, "deadline passed", Duration.ZERO);
+      }
+    }
+
+    /** Removes the request, cancels its attempts and timers. */
+    void close() {
+      activeRequests.remove(exchange.caller());
+      for (Attempt attempt : activeAttempts) {
+        balancer.abandoned(attempt.upstream);
+        if (attempt.call != null) {
+          attempt.call.cancel();
+        }
+      }
+      activeAttempts.clear();
+      if (deadlineTimer != null) {
+        deadlineTimer.cancel();
+      }
+      if (slowResponseTimer != null) {
+        slowResponseTimer.cancel();
+      }
+    }
+
+    private void onResponse(Attempt attempt, UpstreamAnswer response) {
+      long now = timers.nanos();
+      ResponseMetadata metadata = protocol.readResponse(response.head());
+      if (response.succeeded() && !metadata.hasUpstreamStamp()) {
+        onCallFailed(
+            attempt, CallFailure.GARBLED, "successful response without an upstream's stamp");
+        return;
+      }
+      activeAttempts.remove(attempt);
+      if (metadata.notExecuted()) {
+        exchange.recordNotExecuted();
+        balancer.refused(attempt.upstream, metadata.load(), now);
+        onRefusal();
+        return;
+      }
+      balancer.answered(attempt.upstream, now - attempt.sentNanos, metadata.load(), now);
+      if (response.status() >= MIN_SERVER_ERROR_STATUS && serverError == null) {
+        if (!activeAttempts.isEmpty()) {
+          serverError = response;
+          return;
+        }
+        if (acquireRetry()) {
+          serverError = response;
+          sendToNextUpstream("server_error");
+          return;
+        }
+      }
+      close();
+      exchange.recordFirstByte(now);
+      exchange.sendResponse(response, attempt.upstream.value());
+    }
+
+    private void onRefusal() {
+      refusalCount++;
+      // The upstream states that it did not execute the request, so this is not counted as an
+      // attempt and the request may be sent to another upstream.
+      attemptCount--;
+      if (!activeAttempts.isEmpty()) {
+        return;
+      }
+      if (refusalCount < MAX_REFUSALS && retryBudget(exchange.service().name()).take()) {
+        sendToNextUpstream("refused_by_upstream");
+      } else {
+        failIfNoActiveAttempt(ErrorCode.OVERLOADED, "every attempted upstream refused the request");
+      }
+    }
+
+    private void onCallFailed(Attempt attempt, CallFailure failure, String reason) {
+      activeAttempts.remove(attempt);
+      balancer.failed(attempt.upstream, timers.nanos());
+      metrics.countFailedCall("whole", failure.name());
+      EventLog.log(
+          LogEvent.CALL_FAILED,
+          exchange.callerRequestId(),
+          exchange.localId(),
+          attempt.upstream,
+          failure,
+          reason);
+      if (failure == CallFailure.NOT_SENT) {
+        attemptCount--;
+        if (activeAttempts.isEmpty()) {
+          sendToNextUpstream("not_connected");
+        }
+        return;
+      }
+      if (!activeAttempts.isEmpty()) {
+        return;
+      }
+      if (acquireRetry()) {
+        sendToNextUpstream("broken_answer");
+      } else {
+        failIfNoActiveAttempt(
+            ErrorCode.UPSTREAM_FAILED, "response of the upstream was incomplete or invalid");
+      }
+    }
+
+    /** An attempt: one call of the request to one upstream. */
+    private final class Attempt extends CollectedAnswer {
+      private final UpstreamId upstream;
+      private final long sentNanos;
+      private @Nullable Call call;
+
+      Attempt(UpstreamId upstream, long sentNanos) {
+        this.upstream = upstream;
+        this.sentNanos = sentNanos;
+      }
+
+      @Override
+      public void sent() {
+        exchange.recordSent();
+      }
+
+      @Override
+      protected void answered(UpstreamAnswer response) {
+        ActiveRequest.this.onResponse(this, response);
+      }
+
+      @Override
+      public void failed(CallFailure failure, String reason) {
+        onCallFailed(this, failure, reason);
+      }
+    }
+  }
+
+  /** Drops the balancer's state of upstreams that were removed. */
+  void onFleetChange() {
+    balancer.keep(
+        fleet.instances().stream().map(i -> new UpstreamId(i.id())).collect(Collectors.toSet()));
+  }
+}
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -29,223 +29,260 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * Calls to model engines: reservations, prefills, decodes, and what is given back. Results become
- * routing events.
+ * Sends the calls to model engines that routing commands ask for: reservations, prefills, decodes
+ * and the release of reservations and KV caches. Reports the results as routing events.
+ *
+ * <p>Used on the event loop of the data path only.
  */
 final class EngineCalls {
-  // The engine's clock for an exported KV cache starts before its answer has arrived here.
-  private static final Duration HANDLE_MARGIN = Duration.ofMillis(50);
-  // Covers a prefill at the crest; room that is kept for nobody is lost to others.
-  private static final Duration RESERVATION_LIFE = Duration.ofMillis(1_200);
-  private static final Duration OWN_PROMPT_LIFE = Duration.ofDays(1);
-  private static final int SUCCESS = 200;
-
-  private final Fleet fleet;
+  // The engine starts to count the lifetime of an exported KV cache before its response arrives
+  // here, so this node treats the cache as expired a little earlier.
+  private static final Duration HANDLE_EXPIRY_MARGIN = Duration.ofMillis(50);
+  // Long enough for a prefill at a load peak. Capacity that stays reserved for a request that never
+  // comes is wasted.
+  private static final Duration MAX_RESERVATION_TTL = Duration.ofMillis(1_200);
+  private static final Duration LOCAL_KV_TTL = Duration.ofDays(1);
+  private static final int HTTP_OK = 200;
+
+  private final FleetState fleet;
   private final TimerService timers;
-  private final UpstreamProtocol protocol;
+  private final PlatformProtocol protocol;
   private final GatewayMetrics metrics;
-  private final Consumer<RoutingEvent> results;
+  private final Consumer<RoutingEvent> eventSink;
   private final Map<AttemptId, Call> calls = new HashMap<>();
-  private final Map<AttemptId, Reserved> reserved = new HashMap<>();
+  private final Map<AttemptId, EngineReservation> reservations = new HashMap<>();
 
   /**
-   * Creates calls.
+   * Creates an instance without calls in progress.
    *
-   * @param results takes events; must not handle them before the event in progress has ended
+   * @param eventSink receives the results; must not process them before the event in progress has
+   *     been processed
    */
   EngineCalls(
-      Fleet fleet,
+      FleetState fleet,
       TimerService timers,
-      UpstreamProtocol protocol,
+      PlatformProtocol protocol,
       GatewayMetrics metrics,
-      Consumer<RoutingEvent> results) {
+      Consumer<RoutingEvent> eventSink) {
     this.fleet = fleet;
     this.timers = timers;
     this.protocol = protocol;
     this.metrics = metrics;
-    this.results = results;
+    this.eventSink = eventSink;
   }
 
-  private void post(RoutingEvent event) {
-    results.accept(event);
+  private void emit(RoutingEvent event) {
+    eventSink.accept(event);
   }
 
+  /** Requests a reservation of a slot and KV memory at an engine. */
   void reserve(GenerationStream s, RoutingCommand.ReserveEngine c) {
     Instance target = fleet.instance(c.upstream().value());
     if (target == null) {
-      post(new RoutingEvent.EngineNotReserved(c.attempt(), Failure.REFUSED));
+      emit(new RoutingEvent.EngineNotReserved(c.attempt(), Failure.REFUSED));
       return;
     }
     EngineTraits engine = s.exchange.service().engine();
     Duration longest = engine == null ? Duration.ZERO : engine.longestReservation();
-    Duration life = longest.compareTo(RESERVATION_LIFE) < 0 ? longest : RESERVATION_LIFE;
-    call(
+    Duration timeToLive =
+        longest.compareTo(MAX_RESERVATION_TTL) < 0 ? longest : MAX_RESERVATION_TTL;
+    send(
         c.attempt(),
         target,
-        protocol.reserve(target, c.tokens(), life),
-        new ReservationAnswer(c.attempt(), s, target));
+        protocol.reservationRequest(target, c.tokens(), timeToLive),
+        new ReservationResponseListener(c.attempt(), s, target));
   }
 
-  /** Gives back the room that an engine keeps for an attempt that will not come. */
-  private void dropReservation(AttemptId attempt) {
-    Reserved r = reserved.remove(attempt);
-    if (r != null) {
+  /** Releases the reservation of an attempt that will not be sent to the engine. */
+  private void releaseReservation(AttemptId attempt) {
+    EngineReservation reservation = reservations.remove(attempt);
+    if (reservation != null) {
       var request =
           new CallRequest(
-              protocol.dropReservation(r.engine, r.name), new byte[0], true, answer -> true);
-      fleet.pool(r.engine).send(request, new ReleaseAnswer(r.name, r.engine.id()));
+              protocol.releaseReservationRequest(reservation.engine, reservation.reservationId),
+              new byte[0],
+              true,
+              response -> true);
+      fleet
+          .poolFor(reservation.engine)
+          .send(
+              request,
+              new ReleaseResponseListener(reservation.reservationId, reservation.engine.id()));
     }
   }
 
+  /** Starts a prefill, or skips it if the target is a decode engine that processes the prompt. */
   void startPrefill(GenerationStream s, RoutingCommand.StartPrefill c) {
     Instance target = fleet.instance(c.upstream().value());
     if (target == null) {
-      post(new RoutingEvent.PrefillFailed(c.attempt(), Failure.REFUSED));
+      emit(new RoutingEvent.PrefillFailed(c.attempt(), Failure.REFUSED));
     } else if (target.stage() == EngineStage.DECODE) {
-      // It processes the prompt as a part of the decode call.
-      long expires = timers.nanos() + OWN_PROMPT_LIFE.toNanos();
-      post(
+      // The decode engine processes the prompt as a part of the decode call.
+      long expires = timers.nanos() + LOCAL_KV_TTL.toNanos();
+      emit(
           new RoutingEvent.PrefillFinished(
               c.attempt(), new KvHandle(c.upstream(), "own", 0, expires)));
     } else {
-      var plan = s.plan(target, UpstreamCallPlan.PREFILL, null);
-      s.logSent(target, "prefill", c.attempt());
-      call(c.attempt(), target, s.exchange.call(plan), new PrefillAnswer(c.attempt(), s, target));
+      var plan = s.callPlan(target, UpstreamCallPlan.PREFILL, null);
+      s.logStageSent(target, "prefill", c.attempt());
+      send(
+          c.attempt(),
+          target,
+          s.exchange.toUpstreamRequest(plan),
+          new PrefillResponseListener(c.attempt(), s, target));
     }
   }
 
+  /** Starts a decode, from the KV cache of a prefill engine or from the prompt itself. */
   void startDecode(GenerationStream s, RoutingCommand.StartDecode c) {
     Instance target = fleet.instance(c.upstream().value());
     Instance source = fleet.instance(c.handle().source().value());
     if (target == null || source == null) {
-      post(new RoutingEvent.DecodeFailed(c.attempt(), Failure.REFUSED));
+      emit(new RoutingEvent.DecodeFailed(c.attempt(), Failure.REFUSED));
       return;
     }
-    boolean own = source.id().equals(target.id());
+    boolean includesPrefill = source.id().equals(target.id());
     UpstreamCallPlan.Work work =
-        own
+        includesPrefill
             ? UpstreamCallPlan.WHOLE
             : new UpstreamCallPlan.Work.Decode(source, c.handle().reference());
-    s.logSent(target, own ? "whole" : "decode", c.attempt());
-    Reserved room = reserved.remove(c.attempt());
-    String reservation = room != null && room.engine.id().equals(target.id()) ? room.name : null;
-    CallRequest request = s.exchange.call(s.plan(target, work, reservation));
-    call(c.attempt(), target, request, new DecodeAnswer(c.attempt(), s));
+    s.logStageSent(target, includesPrefill ? "whole" : "decode", c.attempt());
+    EngineReservation reservation = reservations.remove(c.attempt());
+    String reservationId =
+        reservation != null && reservation.engine.id().equals(target.id())
+            ? reservation.reservationId
+            : null;
+    CallRequest request = s.exchange.toUpstreamRequest(s.callPlan(target, work, reservationId));
+    send(c.attempt(), target, request, new DecodeResponseListener(c.attempt(), s));
   }
 
-  private void call(AttemptId attempt, Instance target, CallRequest request, CallListener l) {
-    Call call = fleet.pool(target).send(request, l);
+  private void send(
+      AttemptId attempt, Instance target, CallRequest request, CallListener listener) {
+    Call call = fleet.poolFor(target).send(request, listener);
     calls.put(attempt, call);
   }
 
+  /** Cancels the call of an attempt and releases its reservation. */
   void cancel(AttemptId attempt) {
-    dropReservation(attempt);
+    releaseReservation(attempt);
     Call call = calls.remove(attempt);
     if (call != null) {
       call.cancel();
     }
   }
 
-  void release(KvHandle handle) {
+  /** Frees a KV cache that a prefill engine retains. */
+  void releaseKv(KvHandle handle) {
     Instance source = fleet.instance(handle.source().value());
     if (source == null || source.stage() != EngineStage.PREFILL) {
       return;
     }
     var kv = new UpstreamCallPlan.Work.Decode(source, handle.reference());
-    var request = new CallRequest(protocol.release(kv), new byte[0], true, r -> true);
-    fleet.pool(source).send(request, new ReleaseAnswer(handle.reference(), source.id()));
+    var request =
+        new CallRequest(protocol.releaseKvRequest(kv), new byte[0], true, response -> true);
+    fleet
+        .poolFor(source)
+        .send(request, new ReleaseResponseListener(handle.reference(), source.id()));
   }
 
-  private record Reserved(Instance engine, String name) {}
+  /**
+   * A reservation at an engine.
+   *
+   * @param reservationId the engine's id of the reservation
+   */
+  private record EngineReservation(Instance engine, String reservationId) {}
 
-  /** Hears whether an engine keeps room for an attempt. */
-  private final class ReservationAnswer extends CollectedAnswer {
+  /** Processes the response to a reservation request. */
+  private final class ReservationResponseListener extends CollectedAnswer {
     private final AttemptId attempt;
     private final GenerationStream stream;
     private final Instance engine;
 
-    ReservationAnswer(AttemptId attempt, GenerationStream stream, Instance engine) {
+    ReservationResponseListener(AttemptId attempt, GenerationStream stream, Instance engine) {
       this.attempt = attempt;
       this.stream = stream;
       this.engine = engine;
     }
 
     @Override
-    protected void answered(UpstreamAnswer a) {
+    protected void answered(UpstreamAnswer response) {
       calls.remove(attempt);
-      if (a.status() != SUCCESS) {
-        refused("status " + a.status(), Failure.REFUSED);
+      if (response.status() != HTTP_OK) {
+        reportFailure("status " + response.status(), Failure.REFUSED);
         return;
       }
       try {
-        reserved.put(attempt, new Reserved(engine, protocol.readReservation(a.body())));
-        post(new RoutingEvent.EngineReserved(attempt));
+        reservations.put(
+            attempt, new EngineReservation(engine, protocol.readReservationId(response.body())));
+        emit(new RoutingEvent.EngineReserved(attempt));
       } catch (IllegalArgumentException e) {
-        refused("unreadable: " + e.getMessage(), Failure.REFUSED);
+        reportFailure("unreadable response: " + e.getMessage(), Failure.REFUSED);
       }
     }
 
     @Override
     public void failed(CallFailure failure, String reason) {
       calls.remove(attempt);
-      refused(failure + " " + reason, Failure.DISCONNECTED);
+      reportFailure(failure + " " + reason, Failure.DISCONNECTED);
     }
 
-    private void refused(String reason, Failure failure) {
-      metrics.callFailed("reserve", String.valueOf(failure));
+    private void reportFailure(String reason, Failure failure) {
+      metrics.countFailedCall("reserve", String.valueOf(failure));
       EventLog.log(
           LogEvent.CALL_FAILED,
-          stream.exchange.callerId(),
+          stream.exchange.callerRequestId(),
           attempt,
           engine.id(),
           "reserve",
           reason);
-      post(new RoutingEvent.EngineNotReserved(attempt, failure));
+      emit(new RoutingEvent.EngineNotReserved(attempt, failure));
     }
   }
 
-  /** Collects the answer to a prefill. */
-  private final class PrefillAnswer extends CollectedAnswer {
+  /** Processes the response to a prefill. */
+  private final class PrefillResponseListener extends CollectedAnswer {
     private final AttemptId attempt;
     private final GenerationStream stream;
     private final Instance source;
     private final long sentNanos = timers.nanos();
 
-    PrefillAnswer(AttemptId attempt, GenerationStream stream, Instance source) {
+    PrefillResponseListener(AttemptId attempt, GenerationStream stream, Instance source) {
       this.attempt = attempt;
       this.stream = stream;
       this.source = source;
     }
 
     @Override
-    protected void answered(UpstreamAnswer a) {
+    protected void answered(UpstreamAnswer response) {
       calls.remove(attempt);
-      if (a.status() != SUCCESS) {
-        boolean notRun = protocol.read(a.head()).notRun();
-        logFailed("prefill status " + a.status());
-        dropReservation(attempt);
-        post(
+      if (response.status() != HTTP_OK) {
+        boolean notExecuted = protocol.readResponse(response.head()).notExecuted();
+        recordFailure("prefill status " + response.status());
+        releaseReservation(attempt);
+        emit(
             new RoutingEvent.PrefillFailed(
-                attempt, notRun ? Failure.REFUSED : Failure.DISCONNECTED));
+                attempt, notExecuted ? Failure.REFUSED : Failure.DISCONNECTED));
         return;
       }
       try {
-        post(new RoutingEvent.PrefillFinished(attempt, handle(protocol.readExport(a.body()))));
+        emit(
+            new RoutingEvent.PrefillFinished(
+                attempt, toKvHandle(protocol.readPrefillResponse(response.body()))));
       } catch (IllegalArgumentException e) {
-        logFailed("unreadable export: " + e.getMessage());
-        dropReservation(attempt);
-        post(new RoutingEvent.PrefillFailed(attempt, Failure.DISCONNECTED));
+        recordFailure("unreadable prefill response: " + e.getMessage());
+        releaseReservation(attempt);
+        emit(new RoutingEvent.PrefillFailed(attempt, Failure.DISCONNECTED));
       }
     }
 
-    private KvHandle handle(ExportedKv kv) {
+    private KvHandle toKvHandle(ExportedKv kv) {
       EngineTraits engine = stream.exchange.service().engine();
-      Duration life = engine == null ? Duration.ZERO : engine.handleLife();
+      Duration timeToLive = engine == null ? Duration.ZERO : engine.handleLife();
       long bytes = engine == null ? 0 : engine.kvBytesPerToken() * kv.tokens();
-      long expires = timers.nanos() + life.minus(HANDLE_MARGIN).toNanos();
+      long expires = timers.nanos() + timeToLive.minus(HANDLE_EXPIRY_MARGIN).toNanos();
       EventLog.log(
           LogEvent.PREFILL_DONE,
-          stream.exchange.callerId(),
+          stream.exchange.callerRequestId(),
           attempt,
           source.id(),
           kv.tokens(),
@@ -256,16 +293,16 @@
     @Override
     public void failed(CallFailure failure, String reason) {
       calls.remove(attempt);
-      logFailed(failure + " " + reason);
-      dropReservation(attempt);
-      post(new RoutingEvent.PrefillFailed(attempt, Failure.DISCONNECTED));
+      recordFailure(failure + " " + reason);
+      releaseReservation(attempt);
+      emit(new RoutingEvent.PrefillFailed(attempt, Failure.DISCONNECTED));
     }
 
-    private void logFailed(String reason) {
-      metrics.callFailed("prefill", "any");
+    private void recordFailure(String reason) {
+      metrics.countFailedCall("prefill", "any");
       EventLog.log(
           LogEvent.CALL_FAILED,
-          stream.exchange.callerId(),
+          stream.exchange.callerRequestId(),
           attempt,
           source.id(),
           "prefill",
@@ -273,75 +310,79 @@
     }
   }
 
-  /** Passes a stream on to its caller. */
-  private final class DecodeAnswer implements CallListener {
+  /** Forwards the event stream of a decode to the caller. */
+  private final class DecodeResponseListener implements CallListener {
     private final AttemptId attempt;
     private final GenerationStream stream;
-    private @Nullable UpstreamAnswer answer;
+    private @Nullable UpstreamAnswer response;
     private boolean started;
 
-    DecodeAnswer(AttemptId attempt, GenerationStream stream) {
+    DecodeResponseListener(AttemptId attempt, GenerationStream stream) {
       this.attempt = attempt;
       this.stream = stream;
     }
 
     @Override
     public void sent() {
-      stream.exchange.sent();
+      stream.exchange.recordSent();
     }
 
     @Override
-    public void head(HttpResponse h) {
-      answer = new UpstreamAnswer(h);
+    public void head(HttpResponse head) {
+      response = new UpstreamAnswer(head);
     }
 
-    /** Returns whether this is the stream; a success without an upstream's mark is a fragment. */
-    private boolean succeeds(UpstreamAnswer a) {
-      return a.succeeded() && protocol.read(a.head()).genuine();
+    /**
+     * Returns whether the response is the event stream. A successful response without the stamp of
+     * an upstream is not one.
+     */
+    private boolean isUpstreamSuccess(UpstreamAnswer received) {
+      return received.succeeded() && protocol.readResponse(received.head()).hasUpstreamStamp();
     }
 
     @Override
     public void body(ByteBuf part) {
-      UpstreamAnswer a = answer;
-      if (a == null) {
+      UpstreamAnswer received = response;
+      if (received == null) {
         return;
       }
-      if (!succeeds(a)) {
-        a.add(part);
+      if (!isUpstreamSuccess(received)) {
+        received.add(part);
         return;
       }
       if (!started) {
         started = true;
-        post(new RoutingEvent.DecodeStarted(attempt));
+        emit(new RoutingEvent.DecodeStarted(attempt));
       }
-      int before = stream.events.events();
-      pass(a, stream.events.add(part));
-      int count = stream.events.events() - before;
+      int before = stream.events.eventCount();
+      forwardEvents(received, stream.events.append(part));
+      int count = stream.events.eventCount() - before;
       if (count > 0) {
-        stream.times.passed(count, timers.nanos());
-        post(new RoutingEvent.TokensArrived(attempt, count));
+        stream.timing.recordEvents(count, timers.nanos());
+        emit(new RoutingEvent.TokensArrived(attempt, count));
       }
     }
 
-    private void pass(UpstreamAnswer a, ByteBuf events) {
+    /** Sends complete events to the caller. */
+    private void forwardEvents(UpstreamAnswer received, ByteBuf events) {
       CallerExchange caller = stream.exchange.caller();
       if (events.isReadable()) {
-        begin(a);
+        beginCallerResponse(received);
         caller.part(events);
       }
     }
 
-    private void begin(UpstreamAnswer a) {
+    private void beginCallerResponse(UpstreamAnswer received) {
       CallerExchange caller = stream.exchange.caller();
       if (!caller.started()) {
-        stream.exchange.firstByte(timers.nanos());
-        caller.begin(a.head().status(), a.head().headers());
+        stream.exchange.recordFirstByte(timers.nanos());
+        caller.begin(received.head().status(), received.head().headers());
       }
-      caller.onWritabilityChange(this::follow);
+      caller.onWritabilityChange(this::applyBackpressure);
     }
 
-    /** Reads from the engine only while the caller takes what comes. */
-    private void follow() {
+    /** Reads from the engine only while the connection to the caller is writable. */
+    private void applyBackpressure() {
       Call call = calls.get(attempt);
       if (call != null) {
         call.setReading(stream.exchange.caller().writable());
@@ -351,51 +392,54 @@
     @Override
     public void end() {
       calls.remove(attempt);
-      UpstreamAnswer a = answer;
-      if (a == null) {
+      UpstreamAnswer received = response;
+      if (received == null) {
         return;
       }
-      if (succeeds(a)) {
-        pass(a, Unpooled.wrappedBuffer(stream.events.rest()));
-        begin(a);
-        post(new RoutingEvent.DecodeFinished(attempt));
-      } else if (protocol.read(a.head()).notRun()) {
-        stream.exchange.notRun();
-        logFailed("refused with " + a.status());
-        post(new RoutingEvent.DecodeFailed(attempt, Failure.REFUSED));
+      if (isUpstreamSuccess(received)) {
+        forwardEvents(received, Unpooled.wrappedBuffer(stream.events.incompleteEventBytes()));
+        beginCallerResponse(received);
+        emit(new RoutingEvent.DecodeFinished(attempt));
+      } else if (protocol.readResponse(received.head()).notExecuted()) {
+        stream.exchange.recordNotExecuted();
+        recordFailure("refused with " + received.status());
+        emit(new RoutingEvent.DecodeFailed(attempt, Failure.REFUSED));
       } else {
-        logFailed("status " + a.status());
-        // A success without the mark of an upstream is no answer that a caller may get.
-        stream.failed = a.succeeded() ? null : a;
-        post(new RoutingEvent.DecodeFailed(attempt, Failure.DISCONNECTED));
+        recordFailure("status " + received.status());
+        // A successful response without the stamp of an upstream must not reach the caller.
+        stream.lastErrorResponse = received.succeeded() ? null : received;
+        emit(new RoutingEvent.DecodeFailed(attempt, Failure.DISCONNECTED));
       }
     }
 
     @Override
     public void failed(CallFailure failure, String reason) {
       calls.remove(attempt);
-      stream.events.dropPartial();
-      logFailed(failure + " " + reason);
+      stream.events.discardIncompleteEvent();
+      recordFailure(failure + " " + reason);
       boolean notSent = failure == CallFailure.NOT_SENT;
-      post(
+      emit(
           new RoutingEvent.DecodeFailed(attempt, notSent ? Failure.REFUSED : Failure.DISCONNECTED));
     }
 
-    private void logFailed(String reason) {
-      metrics.callFailed("decode", "any");
+    private void recordFailure(String reason) {
+      metrics.countFailedCall("decode", "any");
       EventLog.log(
-          LogEvent.CALL_FAILED, stream.exchange.callerId(), attempt, "-", "decode", reason);
+          LogEvent.CALL_FAILED, stream.exchange.callerRequestId(), attempt, "-", "decode", reason);
     }
   }
 
-  /** Takes note when a KV cache could not be freed; it expires by itself. */
-  private static final class ReleaseAnswer extends CollectedAnswer {
-    private final String name;
-    private final String engine;
+  /**
+   * Logs a failure to release a KV cache or a reservation. Nothing else is done, because the engine
+   * expires both after their time to live.
+   */
+  private static final class ReleaseResponseListener extends CollectedAnswer {
+    private final String resourceName;
+    private final String engineId;
 
-    ReleaseAnswer(String name, String engine) {
-      this.name = name;
-      this.engine = engine;
+    ReleaseResponseListener(String resourceName, String engineId) {
+      this.resourceName = resourceName;
+      this.engineId = engineId;
     }
 
     @Override
@@ -403,7 +447,7 @@
 
     @Override
     public void failed(CallFailure failure, String reason) {
-      EventLog.log(LogEvent.KV_NOT_FREED, name, engine, reason);
+      EventLog.log(LogEvent.KV_NOT_FREED, resourceName, engineId, reason);
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/ErrorAnswer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ErrorResponse.java
@@ -9,15 +9,16 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.gateway.http.CallerExchange;
 
-/** Writes the answers that this node makes itself, with a code and a message as JSON. */
-final class ErrorAnswer {
-  private ErrorAnswer() {}
+/** Sends the error responses that this node generates itself: a JSON body with code and message. */
+final class ErrorResponse {
+  private ErrorResponse() {}
 
   /**
-   * Ends an exchange with an error.
+   * Ends an exchange with an error response.
    *
-   * @param status HTTP status, which may promise less than the usual one of the code
-   * @param retryAfter time after which the caller may come again; zero to state none
+   * @param status HTTP status; differs from the usual status of the code where that one would claim
+   *     that the request was not executed
+   * @param retryAfter time after which the caller may retry; zero for no Retry-After header
    */
   static void send(
       CallerExchange caller, int status, ErrorCode code, String message, Duration retryAfter) {
@@ -27,13 +28,13 @@
       headers.set(
           "Retry-After", String.format(Locale.ROOT, "%.3f", retryAfter.toMillis() / 1000.0));
     }
-    String text =
+    String json =
         "{\"error\":{\"code\":\""
             + code.wireName()
             + "\",\"message\":\""
             + message.replace('"', '\'')
             + "\"}}";
     caller.answer(
-        HttpResponseStatus.valueOf(status), headers, text.getBytes(StandardCharsets.UTF_8));
+        HttpResponseStatus.valueOf(status), headers, json.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
@@ -33,28 +33,33 @@
 import org.mustardlatch.gateway.config.GatewayService;
 import org.mustardlatch.gateway.config.Instance;
 
-/** The fleet in the form that the routing decisions take: a manifest made of what is registered. */
+/**
+ * Builds the manifest that routing decisions use from the active configuration and the registered
+ * engines, and derives the request attributes that refer to it.
+ */
 final class FleetManifest {
   // Engines allocate KV memory in blocks of a few tokens.
-  private static final int TOKENS_PER_PIECE = 16;
-  private static final int BLOCK_TOKENS = 256;
+  private static final int KV_BLOCK_TOKENS = 16;
+  private static final int PREFIX_BLOCK_TOKENS = 256;
 
-  // Where the configuration does not state how fast engines are, the pace is learned from here.
-  private static final int USUAL_PREFILL_TOKENS_PER_SECOND = 20_000;
-  private static final Duration USUAL_FIRST_TOKEN = Duration.ofMillis(900);
-  private static final Duration USUAL_TOKEN_GAP = Duration.ofMillis(70);
+  // Initial values for what the configuration does not state; routing corrects its speed estimates
+  // from the observed speed of the engines.
+  private static final int DEFAULT_PREFILL_TOKENS_PER_SECOND = 20_000;
+  private static final Duration DEFAULT_FIRST_TOKEN_TARGET = Duration.ofMillis(900);
+  private static final Duration DEFAULT_TOKEN_GAP_TARGET = Duration.ofMillis(70);
 
-  // A tenth of a narrow link of 20 Mbit/s to another region, for all requests of the fleet.
-  private static final CrossRegionLink LINK = new CrossRegionLink(2_500_000, 0.3);
+  // A narrow link of 20 Mbit/s to another region; all requests of the fleet share the fraction.
+  private static final CrossRegionLink CROSS_REGION_LINK = new CrossRegionLink(2_500_000, 0.3);
   private static final Limits LIMITS = new Limits(0.1, 0.02);
 
-  // Answers that come late are worth little to callers; they wait for those that are in time.
-  private static final double LATE_SHARE = 0.5;
+  // A response after the latency target is of little use to its caller, so late requests get a
+  // smaller share of the capacity than those that can still meet the target.
+  private static final double LATE_WORKSPACE_WEIGHT = 0.5;
 
   private FleetManifest() {}
 
-  /** Returns a manifest of all engines, or null before there is a configuration. */
-  static @Nullable Manifest of(Fleet fleet, GatewaySettings settings) {
+  /** Returns a manifest of all engines, or null if no configuration has been received yet. */
+  static @Nullable Manifest of(FleetState fleet, GatewaySettings settings) {
     GatewayConfiguration c = fleet.configuration();
     if (c == null) {
       return null;
@@ -65,7 +70,7 @@
       EngineTraits engine = s.engine();
       if (engine != null) {
         models.add(model(s, engine, c));
-        for (Instance i : fleet.all()) {
+        for (Instance i : fleet.instances()) {
           if (i.service().equals(s.name())) {
             upstreams.add(upstream(i, engine));
           }
@@ -76,8 +81,10 @@
         "fleet",
         Objective.WASTE_AVERSE,
         regions(settings),
-        LINK,
-        List.of(workspace(GenerationPath.IN_TIME, 1), workspace(GenerationPath.LATE, LATE_SHARE)),
+        CROSS_REGION_LINK,
+        List.of(
+            workspace(GenerationRequestHandler.IN_TIME, 1),
+            workspace(GenerationRequestHandler.LATE, LATE_WORKSPACE_WEIGHT)),
         models,
         upstreams,
         List.of(),
@@ -96,25 +103,25 @@
   }
 
   private static Model model(GatewayService s, EngineTraits engine, GatewayConfiguration c) {
-    Duration first = USUAL_FIRST_TOKEN;
+    Duration firstTokenTarget = DEFAULT_FIRST_TOKEN_TARGET;
     for (GatewayRoute r : c.routes()) {
       if (r.services().stream().anyMatch(w -> w.service().equals(s.name()))) {
-        first = r.latencyTarget();
+        firstTokenTarget = r.latencyTarget();
       }
     }
     return new Model(
         new ModelId(modelName(s.name())),
-        first,
-        USUAL_TOKEN_GAP,
+        firstTokenTarget,
+        DEFAULT_TOKEN_GAP_TARGET,
         engine.memoryTokens(),
         engine.kvBytesPerToken(),
-        TOKENS_PER_PIECE,
+        KV_BLOCK_TOKENS,
         !engine.longestReservation().isZero());
   }
 
   private static Upstream upstream(Instance i, EngineTraits engine) {
     boolean prefill = i.stage() == EngineStage.PREFILL;
-    int rate = USUAL_PREFILL_TOKENS_PER_SECOND;
+    int rate = DEFAULT_PREFILL_TOKENS_PER_SECOND;
     return new Upstream(
         new UpstreamId(i.id()),
         prefill ? UpstreamRole.PREFILL : UpstreamRole.DECODE_WITH_PROMPT,
@@ -122,31 +129,34 @@
         new ZoneId(i.zone()),
         URI.create("http://" + i.address().getHostString() + ":" + i.address().getPort()),
         i.slots(),
-        // An engine of the decode pool reads prompts at half the speed.
+        // An engine of the decode pool processes prompts at half the speed of a prefill engine.
         prefill ? rate : rate / 2,
-        engine.memoryTokens() / TOKENS_PER_PIECE,
+        engine.memoryTokens() / KV_BLOCK_TOKENS,
         true,
         i.leaving());
   }
 
-  /** Returns the name by which the decisions know the model of a service. */
+  /** Returns the model name of a service in the manifest. */
   static String modelName(String service) {
     return service.toLowerCase(Locale.ROOT);
   }
 
-  /** Returns names of the prompt's blocks; equal parts of prompts have equal names. */
-  static List<Long> blocks(List<CallerRequest.PromptPart> parts) {
+  /** Returns hashes of the prompt's blocks; equal parts of prompts have equal hashes. */
+  static List<Long> prefixBlocks(List<RequestMetadata.PromptPart> parts) {
     List<Long> result = new ArrayList<>();
-    for (CallerRequest.PromptPart p : parts) {
-      for (int i = 0; i < p.tokens() / BLOCK_TOKENS; i++) {
-        result.add(p.id() * 31 + i);
+    for (RequestMetadata.PromptPart p : parts) {
+      for (int i = 0; i < p.tokens() / PREFIX_BLOCK_TOKENS; i++) {
+        result.add(p.contentDigest() * 31 + i);
       }
     }
     return result;
   }
 
-  /** Returns the digest of what an upstream runs. */
-  static String fingerprint(Exchange exchange) {
+  /**
+   * Returns the digest of the request target and the body, which determine what an upstream
+   * executes.
+   */
+  static String fingerprint(RoutedExchange exchange) {
     Hasher h = Hashing.sha256().newHasher();
     h.putString(exchange.caller().head().uri(), StandardCharsets.UTF_8);
     h.putBytes(exchange.caller().body());
--- a/gateway/src/main/java/org/mustardlatch/gateway/Fleet.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
@@ -19,39 +19,48 @@
 import org.mustardlatch.gateway.store.StoreListener;
 import org.mustardlatch.gateway.store.StoredEntry;
 
-/** The configuration and the upstreams in force on this node, and the connections to them. */
-public final class Fleet {
-  // Longer than a lost first packet within a region takes to be sent again would be too late.
+/**
+ * The active configuration and the registered upstreams as last received from the object store,
+ * with a connection pool for each upstream.
+ *
+ * <p>Used on the event loop of the data path only.
+ */
+public final class FleetState {
+  // A timeout longer than the time in which a lost first packet is retransmitted within a region
+  // would be too long for callers.
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
-  private static final Duration FRESH_CONNECTION = Duration.ofMillis(500);
+  private static final Duration RECENT_USE_WINDOW = Duration.ofMillis(500);
 
   private final EventLoop loop;
   private final TimerService timers;
   private final InstanceTable table = new InstanceTable();
-  private final Map<String, Pooled> pools = new HashMap<>();
+  private final Map<String, PooledInstance> pools = new HashMap<>();
   private final List<Runnable> listeners = new ArrayList<>();
   private @Nullable GatewayConfiguration configuration;
 
-  private record Pooled(Instance instance, UpstreamPool pool) {}
+  private record PooledInstance(Instance instance, UpstreamPool pool) {}
 
-  /** Creates a fleet that knows nothing. */
-  public Fleet(EventLoop loop, TimerService timers) {
+  /** Creates a state without a configuration and without upstreams. */
+  public FleetState(EventLoop loop, TimerService timers) {
     this.loop = loop;
     this.timers = timers;
   }
 
-  /** Calls a task after every change. */
+  /** Adds a task to run after every change of the configuration or the upstreams. */
   public void onChange(Runnable task) {
     listeners.add(task);
   }
 
-  /** Returns the configuration in force, or null before there is one. */
+  /** Returns the active configuration, or null if none has been received yet. */
   public @Nullable GatewayConfiguration configuration() {
     return configuration;
   }
 
-  /** Returns the upstreams of a service that may get new work. */
-  public List<Instance> usable(String service) {
+  /**
+   * Returns the upstreams of a service that accept new work, which excludes those leaving
+   * (draining).
+   */
+  public List<Instance> instancesForNewWork(String service) {
     List<Instance> result = new ArrayList<>();
     for (Instance i : table.all()) {
       if (i.service().equals(service) && !i.leaving()) {
@@ -66,29 +75,33 @@
     return table.get(id);
   }
 
-  /** Returns all known upstreams. */
-  public Collection<Instance> all() {
+  /** Returns all registered upstreams. */
+  public Collection<Instance> instances() {
     return table.all();
   }
 
-  /** Returns the connections to an upstream. */
-  public UpstreamPool pool(Instance target) {
-    Pooled known = pools.get(target.id());
-    if (known != null && known.instance().sameStart(target)) {
-      return known.pool();
+  /**
+   * Returns the connection pool of an upstream. A pool of an earlier start of the same upstream is
+   * closed and replaced.
+   */
+  public UpstreamPool poolFor(Instance target) {
+    PooledInstance existing = pools.get(target.id());
+    if (existing != null && existing.instance().sameStart(target)) {
+      return existing.pool();
     }
-    if (known != null) {
-      known.pool().close();
+    if (existing != null) {
+      existing.pool().close();
     }
-    var pool = new UpstreamPool(loop, timers, target.address(), CONNECT_TIMEOUT, FRESH_CONNECTION);
-    pools.put(target.id(), new Pooled(target, pool));
+    var pool = new UpstreamPool(loop, timers, target.address(), CONNECT_TIMEOUT, RECENT_USE_WINDOW);
+    pools.put(target.id(), new PooledInstance(target, pool));
     return pool;
   }
 
-  private void changed() {
+  /** Closes the pools of removed or restarted upstreams and runs the listeners. */
+  private void closeStalePoolsAndNotify() {
     for (String id : new ArrayList<>(pools.keySet())) {
       Instance i = table.get(id);
-      Pooled p = pools.get(id);
+      PooledInstance p = pools.get(id);
       if (p != null && (i == null || !i.sameStart(p.instance()))) {
         pools.remove(id);
         p.pool().close();
@@ -97,14 +110,15 @@
     listeners.forEach(Runnable::run);
   }
 
-  private void expireLater() {
+  /** Schedules the removal of upstreams that do not register again in time after a store outage. */
+  private void scheduleExpiry() {
     Long at = table.nextExpiryNanos();
     if (at != null) {
       timers.schedule(
           Duration.ofNanos(at - timers.nanos()),
           () -> {
             if (table.expire(timers.nanos())) {
-              changed();
+              closeStalePoolsAndNotify();
             }
           });
     }
@@ -139,14 +153,14 @@
     }
 
     private void apply(GatewayConfiguration next) {
-      GatewayConfiguration now = configuration;
-      if (now != null && next.version() <= now.version()) {
-        EventLog.log(LogEvent.CONFIGURATION_OLD, next.version(), now.version());
+      GatewayConfiguration current = configuration;
+      if (current != null && next.version() <= current.version()) {
+        EventLog.log(LogEvent.CONFIGURATION_OLD, next.version(), current.version());
         return;
       }
       configuration = next;
       EventLog.log(LogEvent.CONFIGURATION_APPLIED, next.version(), next.routes().size());
-      Fleet.this.changed();
+      FleetState.this.closeStalePoolsAndNotify();
     }
 
     @Override
@@ -166,8 +180,8 @@
       unreadable.forEach(n -> EventLog.log(LogEvent.UPSTREAM_ENTRY_UNREADABLE, n));
       table.replace(entries.stream().map(StoredEntry::content).toList(), timers.nanos());
       EventLog.log(LogEvent.UPSTREAMS_LISTED, table.all().size());
-      expireLater();
-      Fleet.this.changed();
+      scheduleExpiry();
+      FleetState.this.closeStalePoolsAndNotify();
     }
 
     @Override
@@ -185,10 +199,10 @@
         case StoreAnswer.Change.Removed<Instance> r -> {
           table.remove(r.name(), timers.nanos());
           EventLog.log(LogEvent.UPSTREAM_REMOVED, r.name());
-          expireLater();
+          scheduleExpiry();
         }
       }
-      Fleet.this.changed();
+      FleetState.this.closeStalePoolsAndNotify();
     }
 
     @Override
--- a/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
@@ -22,41 +22,45 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The data path of one node: takes callers' requests and gives each to the path of its kind. */
+/**
+ * The data path of one node: receives callers' requests, matches each with a route and passes it to
+ * the handler for application requests or for generations. Also serves readiness and metrics.
+ */
 public final class Gateway implements CallerHandler {
-  // The load balancer sends new callers until it has missed readiness twice, a second apart.
-  private static final Duration BALANCER_NOTICE = Duration.ofMillis(2_800);
-  // A new node knows its configuration within a few readings of the store.
-  private static final Duration NOT_READY_PAUSE = Duration.ofMillis(300);
-  private static final Duration DRAIN_CHECK = Duration.ofMillis(50);
-  private static final Duration END_MARGIN = Duration.ofMillis(400);
+  // The load balancer stops to send new connections after two failed readiness checks, which are a
+  // second apart.
+  private static final Duration LOAD_BALANCER_REACTION_TIME = Duration.ofMillis(2_800);
+  // A new node has received its configuration after a few reads of the store.
+  private static final Duration NOT_READY_RETRY_AFTER = Duration.ofMillis(300);
+  private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(50);
+  private static final Duration GRACE_PERIOD_MARGIN = Duration.ofMillis(400);
 
   private final GatewaySettings settings;
   private final TimerService timers;
-  private final Fleet fleet;
-  private final UpstreamProtocol protocol;
+  private final FleetState fleet;
+  private final PlatformProtocol protocol;
   private final Peers peers;
   private final RandomGenerator random;
-  private final ApplicationPath applications;
-  private final GenerationPath generations;
-  private final CallerServer callers;
-  private final PageServer pages;
-  private final @Nullable PageServer metricPages;
+  private final ApplicationRequestHandler applicationHandler;
+  private final GenerationRequestHandler generationHandler;
+  private final CallerServer callerServer;
+  private final PageServer readinessServer;
+  private final @Nullable PageServer metricsServer;
   private final CountDownLatch drained = new CountDownLatch(1);
-  private final Map<String, Long> patienceMillis = new HashMap<>();
-  private long requests;
+  private final Map<String, Long> firstAttemptTimeoutMillis = new HashMap<>();
+  private long requestCount;
   private final GatewayMetrics metrics = new GatewayMetrics();
   private boolean draining;
   private boolean wasReady;
   private long drainStartNanos;
 
-  /** Creates a data path that does not listen yet. */
+  /** Creates a data path that does not accept connections until {@link #start}. */
   public Gateway(
       GatewaySettings settings,
       EventLoop loop,
       TimerService timers,
-      Fleet fleet,
-      UpstreamProtocol protocol,
+      FleetState fleet,
+      PlatformProtocol protocol,
       Peers peers,
       long incarnation,
       RandomGenerator random) {
@@ -66,70 +70,81 @@
     this.protocol = protocol;
     this.peers = peers;
     this.random = random;
-    this.applications =
-        new ApplicationPath(
+    this.applicationHandler =
+        new ApplicationRequestHandler(
             fleet, timers, settings, protocol, random, metrics, () -> peers.members().size());
-    this.generations =
-        new GenerationPath(
+    this.generationHandler =
+        new GenerationRequestHandler(
             fleet, timers, settings, protocol, random, peers, incarnation, loop, metrics);
-    this.callers = new CallerServer(loop, timers, settings.callerAddress(), this, this::limits);
-    this.pages = new PageServer(loop, timers, settings.readinessAddress());
-    pages.page(settings.readinessPath(), this::readiness);
+    this.callerServer =
+        new CallerServer(loop, timers, settings.callerAddress(), this, this::limits);
+    this.readinessServer = new PageServer(loop, timers, settings.readinessAddress());
+    readinessServer.addPage(settings.readinessPath(), this::readiness);
     InetSocketAddress metricsAddress = settings.metricsAddress();
-    this.metricPages = metricsAddress == null ? null : new PageServer(loop, timers, metricsAddress);
-    if (metricPages != null) {
-      metrics.gauge("mustardlatch.open.requests", () -> applications.open() + generations.open());
-      metrics.gauge("mustardlatch.upstreams", () -> fleet.all().size());
-      metricPages.page(
+    this.metricsServer =
+        metricsAddress == null ? null : new PageServer(loop, timers, metricsAddress);
+    if (metricsServer != null) {
+      metrics.registerGauge(
+          "mustardlatch.open.requests",
+          () -> applicationHandler.openRequests() + generationHandler.openRequests());
+      metrics.registerGauge("mustardlatch.upstreams", () -> fleet.instances().size());
+      metricsServer.addPage(
           "/metrics",
           () -> new PageServer.Page(200, "text/plain; version=0.0.4", metrics.scrape()));
     }
   }
 
-  /** Listens for callers and for the load balancer. */
+  /**
+   * Starts to listen for callers, for the readiness checks of the load balancer and for metrics.
+   */
   public void start() {
-    fleet.onChange(this::fleetChanged);
-    generations.start();
-    callers.start();
-    pages.start();
-    if (metricPages != null) {
-      metricPages.start();
+    fleet.onChange(this::onFleetChange);
+    generationHandler.start();
+    callerServer.start();
+    readinessServer.start();
+    if (metricsServer != null) {
+      metricsServer.start();
     }
     EventLog.log(LogEvent.GATEWAY_LISTENING, settings.callerAddress(), settings.readinessAddress());
   }
 
-  /** Returns where it listens for callers, with the port that was chosen for port 0. */
+  /** Returns the address for callers, with the actual port if port 0 was configured. */
   public InetSocketAddress callerAddress() {
-    return callers.address();
+    return callerServer.address();
   }
 
-  /** Stops to be ready, finishes what is in progress and ends; call it on the event loop. */
+  /**
+   * Reports not ready, finishes the requests in progress within the grace period and then releases
+   * {@link #awaitDrained}. Must be called on the event loop.
+   */
   public void drain() {
     if (draining) {
       return;
     }
     draining = true;
     drainStartNanos = timers.nanos();
-    EventLog.log(LogEvent.DAEMON_DRAINING, applications.open() + generations.open());
-    callers.drain();
+    EventLog.log(
+        LogEvent.DAEMON_DRAINING,
+        applicationHandler.openRequests() + generationHandler.openRequests());
+    callerServer.drain();
     peers.leave();
-    timers.schedule(BALANCER_NOTICE, callers::closeIdle);
-    timers.schedule(BALANCER_NOTICE, this::awaitEnd);
+    timers.schedule(LOAD_BALANCER_REACTION_TIME, callerServer::closeIdle);
+    timers.schedule(LOAD_BALANCER_REACTION_TIME, this::awaitOpenRequests);
   }
 
-  private void awaitEnd() {
-    callers.closeIdle();
-    long ran = timers.nanos() - drainStartNanos;
-    boolean over = ran >= settings.grace().minus(END_MARGIN).toNanos();
-    if (over || applications.open() + generations.open() == 0) {
-      // The last answers need a moment to leave.
-      timers.schedule(DRAIN_CHECK, drained::countDown);
+  private void awaitOpenRequests() {
+    callerServer.closeIdle();
+    long elapsed = timers.nanos() - drainStartNanos;
+    boolean graceOver = elapsed >= settings.gracePeriod().minus(GRACE_PERIOD_MARGIN).toNanos();
+    if (graceOver || applicationHandler.openRequests() + generationHandler.openRequests() == 0) {
+      // Leaves time to write the last responses to their connections.
+      timers.schedule(DRAIN_POLL_INTERVAL, drained::countDown);
     } else {
-      timers.schedule(DRAIN_CHECK, this::awaitEnd);
+      timers.schedule(DRAIN_POLL_INTERVAL, this::awaitOpenRequests);
     }
   }
 
-  /** Waits until a drain has ended. */
+  /** Blocks until a drain has ended. */
   public void awaitDrained() throws InterruptedException {
     drained.await();
   }
@@ -149,62 +164,65 @@
     return c == null ? CallerLimits.DEFAULT : c.limits();
   }
 
-  private void fleetChanged() {
-    applications.fleetChanged();
-    generations.fleetChanged();
+  private void onFleetChange() {
+    applicationHandler.onFleetChange();
+    generationHandler.onFleetChange();
     if (ready() && !wasReady) {
       wasReady = true;
-      EventLog.log(LogEvent.GATEWAY_READY, fleet.all().size());
+      EventLog.log(LogEvent.GATEWAY_READY, fleet.instances().size());
     }
   }
 
   @Override
   public void request(CallerExchange caller) {
-    requests++;
+    requestCount++;
     GatewayConfiguration c = fleet.configuration();
     if (c == null) {
-      reject(caller, ErrorCode.NOT_READY, "no configuration is known yet");
+      reject(caller, ErrorCode.NOT_READY, "no configuration has been received yet");
       return;
     }
     String host = caller.head().headers().get(HttpHeaderNames.HOST, "");
     GatewayRoute route = c.route(host, caller.head().uri());
     if (route == null) {
-      reject(caller, ErrorCode.UNKNOWN_ROUTE, "no route for this host and path");
+      reject(caller, ErrorCode.UNKNOWN_ROUTE, "no route matches this host and path");
       return;
     }
     GatewayService service = c.service(route.service(random.nextDouble()));
-    CallerRequest request = read(caller);
-    if (request == null || service == null) {
-      reject(caller, ErrorCode.INVALID_ARGUMENT, "a header can't be read");
+    RequestMetadata metadata = readMetadata(caller);
+    if (metadata == null || service == null) {
+      reject(caller, ErrorCode.INVALID_ARGUMENT, "a required header cannot be parsed");
       return;
     }
     var exchange =
-        new Exchange(
-            "r" + requests,
+        new RoutedExchange(
+            "r" + requestCount,
             caller,
-            request,
+            metadata,
             route,
             service,
             protocol,
-            patience(route, request),
+            firstAttemptTimeout(route, metadata),
             metrics);
     if (service.engine() != null && route.kind() == RequestKind.STREAMING) {
-      generations.start(exchange);
+      generationHandler.start(exchange);
     } else {
-      applications.start(exchange);
+      applicationHandler.start(exchange);
     }
   }
 
-  /** Returns how long callers of a route wait at their first attempt; later ones state less. */
-  private Duration patience(GatewayRoute route, CallerRequest request) {
-    Long stated = request.deadlineMillis();
-    long millis = stated == null ? 0 : stated;
-    return Duration.ofMillis(patienceMillis.merge(route.name(), millis, Math::max));
+  /**
+   * Returns the timeout of callers of a route at their first attempt: the longest one seen so far,
+   * because later attempts state a shorter time.
+   */
+  private Duration firstAttemptTimeout(GatewayRoute route, RequestMetadata metadata) {
+    Long statedMillis = metadata.deadlineMillis();
+    long millis = statedMillis == null ? 0 : statedMillis;
+    return Duration.ofMillis(firstAttemptTimeoutMillis.merge(route.name(), millis, Math::max));
   }
 
-  private @Nullable CallerRequest read(CallerExchange caller) {
+  private @Nullable RequestMetadata readMetadata(CallerExchange caller) {
     try {
-      return protocol.read(caller.head().headers());
+      return protocol.readRequest(caller.head().headers());
     } catch (IllegalArgumentException e) {
       EventLog.log(
           LogEvent.REQUEST_UNREADABLE, caller.head().uri(), String.valueOf(e.getMessage()));
@@ -214,14 +232,14 @@
 
   private void reject(CallerExchange caller, ErrorCode code, String reason) {
     EventLog.log(LogEvent.REQUEST_REJECTED, caller.head().uri(), code.wireName(), reason);
-    Duration pause = code == ErrorCode.NOT_READY ? NOT_READY_PAUSE : Duration.ZERO;
-    ErrorAnswer.send(caller, code.httpStatus(), code, reason, pause);
+    Duration retryAfter = code == ErrorCode.NOT_READY ? NOT_READY_RETRY_AFTER : Duration.ZERO;
+    ErrorResponse.send(caller, code.httpStatus(), code, reason, retryAfter);
   }
 
   @Override
   public void left(CallerExchange caller) {
-    if (!applications.left(caller)) {
-      generations.left(caller);
+    if (!applicationHandler.callerDisconnected(caller)) {
+      generationHandler.callerDisconnected(caller);
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GatewayMetrics.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GatewayMetrics.java
@@ -12,20 +12,20 @@
 import java.util.function.Supplier;
 import org.mustardlatch.gateway.config.RequestKind;
 
-/** Counters and latency histograms of the data path. Used on its event loop only. */
+/** The metrics of the data path in a Prometheus registry. Used on its event loop only. */
 public final class GatewayMetrics {
-  // Wide enough for the quickest application answer and the longest stream.
-  private static final Duration SHORTEST = Duration.ofMillis(5);
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  // Histogram range from the fastest application response to the longest stream.
+  private static final Duration MIN_EXPECTED_DURATION = Duration.ofMillis(5);
+  private static final Duration MAX_EXPECTED_DURATION = Duration.ofSeconds(30);
 
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final Map<String, Counter> counters = new HashMap<>();
-  private final Map<RequestKind, Timer> firstBytes = new HashMap<>();
-  private final Timer longestPauses =
+  private final Map<RequestKind, Timer> firstByteTimers = new HashMap<>();
+  private final Timer longestPauseTimer =
       histogram("mustardlatch.stream.longest.pause").register(registry);
 
-  /** Creates metrics that count from zero. */
+  /** Creates a registry with all counters at zero. */
   public GatewayMetrics() {}
 
   /** Returns all metrics in the Prometheus text format. */
@@ -33,45 +33,62 @@
     return registry.scrape();
   }
 
-  /** Serves a number that is read at every scrape. */
-  void gauge(String name, Supplier<Number> value) {
+  /** Registers a gauge whose value is read at every scrape. */
+  void registerGauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).register(registry);
   }
 
-  /** Takes note of how a request ended. */
-  void ended(RequestKind kind, String outcome, int status) {
-    count("mustardlatch.requests", "kind", lower(kind), "outcome", outcome, "status", "" + status);
+  /** Counts a request that ended, by kind, outcome and HTTP status. */
+  void countRequest(RequestKind kind, String outcome, int status) {
+    count(
+        "mustardlatch.requests",
+        "kind",
+        lowerCaseName(kind),
+        "outcome",
+        outcome,
+        "status",
+        "" + status);
   }
 
-  /** Takes note of the longest pause between the events of a complete stream. */
-  void longestPause(long nanos) {
-    longestPauses.record(Duration.ofNanos(nanos));
+  /** Records the longest pause between two events of a complete stream, nanoseconds. */
+  void recordLongestPause(long nanos) {
+    longestPauseTimer.record(Duration.ofNanos(nanos));
   }
 
-  /** Takes note of the time from a request to the first byte of its answer. */
-  void firstByte(RequestKind kind, long nanos) {
-    firstBytes
+  /**
+   * Records the time from the arrival of a request to the first byte of its response, nanoseconds.
+   */
+  void recordFirstByte(RequestKind kind, long nanos) {
+    firstByteTimers
         .computeIfAbsent(
             kind,
-            k -> histogram("mustardlatch.first.byte").tag("kind", lower(k)).register(registry))
+            k ->
+                histogram("mustardlatch.first.byte")
+                    .tag("kind", lowerCaseName(k))
+                    .register(registry))
         .record(Duration.ofNanos(nanos));
   }
 
-  /** Takes note of a routing rule that was applied. */
-  void decision(String rule) {
+  /** Counts an application of a routing rule. */
+  void countDecision(String rule) {
     count("mustardlatch.decisions", "rule", rule);
   }
 
-  /** Takes note of a call to an upstream that brought no whole answer. */
-  void callFailed(String part, String failure) {
+  /**
+   * Counts a call to an upstream that ended without a usable response.
+   *
+   * @param part the part of the request that the call was for, such as "prefill"
+   * @param failure the kind of failure, or "any"
+   */
+  void countFailedCall(String part, String failure) {
     count("mustardlatch.calls.failed", "part", part, "failure", failure);
   }
 
   private static Timer.Builder histogram(String name) {
     return Timer.builder(name)
         .publishPercentileHistogram()
-        .minimumExpectedValue(SHORTEST)
-        .maximumExpectedValue(LONGEST);
+        .minimumExpectedValue(MIN_EXPECTED_DURATION)
+        .maximumExpectedValue(MAX_EXPECTED_DURATION);
   }
 
   private void count(String name, String... tags) {
@@ -81,7 +98,7 @@
         .increment();
   }
 
-  private static String lower(RequestKind kind) {
+  private static String lowerCaseName(RequestKind kind) {
     return kind.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GatewaySettings.java
@@ -10,20 +10,20 @@
 import org.mustardlatch.core.model.ZoneId;
 
 /**
- * What a node of the data path is told at its start.
+ * The settings with which a node of the data path starts.
  *
- * @param host name of this node
- * @param zone its availability zone
+ * @param host unique name of this node
+ * @param zone availability zone of this node
  * @param regions the region of each availability zone
- * @param callerAddress where callers connect
- * @param readinessAddress where the load balancer asks for readiness
- * @param readinessPath the path that it asks for
- * @param metricsAddress where metrics are served; null for nowhere
- * @param peerAddress where this node listens for its peers; null for a node on its own
- * @param peerSeeds addresses of peers to join through
- * @param repeatRatio repeats that the fleet may send to a service, for each request to it
- * @param repeatExtra repeats beyond that in one window, for the whole fleet
- * @param grace time between a stop signal and the end of the process
+ * @param callerAddress address to listen on for callers
+ * @param readinessAddress address to listen on for readiness checks of the load balancer
+ * @param readinessPath URL path of the readiness check
+ * @param metricsAddress address to serve metrics on; null to serve none
+ * @param peerAddress address to listen on for peers; null for a standalone node
+ * @param peerSeeds addresses of peers to contact for joining the fleet
+ * @param retryBudgetRatio retries that the fleet may send to a service per request to it
+ * @param retryBudgetExtra additional retries of the whole fleet in one window
+ * @param gracePeriod maximum time between a stop signal and the end of the process
  */
 public record GatewaySettings(
     HostId host,
@@ -35,15 +35,19 @@
     @Nullable InetSocketAddress metricsAddress,
     @Nullable InetSocketAddress peerAddress,
     List<String> peerSeeds,
-    double repeatRatio,
-    double repeatExtra,
-    Duration grace) {
-  /** Copies the map and checks that the zone has a region. */
+    double retryBudgetRatio,
+    double retryBudgetExtra,
+    Duration gracePeriod) {
+  /**
+   * Creates settings with copies of the collections.
+   *
+   * @throws IllegalArgumentException if the zone of the node has no region
+   */
   public GatewaySettings {
     regions = Map.copyOf(regions);
     peerSeeds = List.copyOf(peerSeeds);
     if (!regions.containsKey(zone)) {
-      throw new IllegalArgumentException("no region is known for zone " + zone);
+      throw new IllegalArgumentException("no region is configured for zone " + zone);
     }
   }
 
@@ -51,7 +55,7 @@
   public RegionId region() {
     RegionId region = regions.get(zone);
     if (region == null) {
-      throw new IllegalStateException("no region is known for zone " + zone);
+      throw new IllegalStateException("no region is configured for zone " + zone);
     }
     return region;
   }
--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -0,0 +1,262 @@
+package org.mustardlatch.gateway;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.Executor;
+import java.util.function.Consumer;
+import java.util.random.RandomGenerator;
+import org.mustardlatch.core.model.AttemptId;
+import org.mustardlatch.core.model.Fingerprint;
+import org.mustardlatch.core.model.ModelId;
+import org.mustardlatch.core.model.RequestId;
+import org.mustardlatch.core.model.WorkspaceId;
+import org.mustardlatch.core.routing.GenerationRequest;
+import org.mustardlatch.core.routing.NodeRouter;
+import org.mustardlatch.core.routing.PolicyRunner;
+import org.mustardlatch.core.routing.RoutingCommand;
+import org.mustardlatch.core.routing.RoutingEvent;
+import org.mustardlatch.core.time.TimerService;
+import org.mustardlatch.gateway.http.CallerExchange;
+import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.log.EventLog;
+import org.mustardlatch.gateway.log.LogEvent;
+
+/**
+ * Handles generation requests: passes them and the results of engine calls to the {@link
+ * NodeRouter} as events and executes the commands that it emits.
+ *
+ * <p>Used on the event loop of the data path only.
+ */
+final class GenerationRequestHandler {
+  /** Workspace of requests that can still get their first token within the latency target. */
+  static final WorkspaceId IN_TIME = new WorkspaceId("in-time");
+
+  /** Workspace of requests that can no longer meet the latency target; they get spare capacity. */
+  static final WorkspaceId LATE = new WorkspaceId("late");
+
+  // Predictions are uncertain, so a request that is predicted to exceed its latency target by up to
+  // this fraction is accepted rather than refused.
+  private static final double PREDICTION_SLACK = 0.25;
+
+  // A prefill and the transfer of its KV cache take at least this long.
+  private static final long MIN_FIRST_TOKEN_NANOS = 150_000_000;
+
+  // A late request waits for spare capacity for this multiple of the latency target, and is refused
+  // after that.
+  private static final double LATE_REQUEST_WAIT_FACTOR = 2;
+  private static final double AVERAGE_OUTPUT_IN_MEMORY = 0.5;
+  // Length hints of callers are often far off, so the estimate is a weighted mean of the hint and
+  // the average hint.
+  private static final double HINT_WEIGHT = 0.66;
+  private static final double HINT_SMOOTHING_FACTOR = 0.05;
+  private static final int HTTP_OK = 200;
+
+  private final FleetState fleet;
+  private final TimerService timers;
+  private final GatewaySettings settings;
+  private final RandomGenerator random;
+  private final Peers peers;
+  private final Executor eventExecutor;
+  private final GatewayMetrics metrics;
+  private final PolicyRunner runner;
+  private final NodeRouter router;
+  private final Map<RequestId, GenerationStream> streams = new HashMap<>();
+  private final Map<CallerExchange, GenerationStream> streamsByCaller = new HashMap<>();
+  private final EngineCalls engineCalls;
+  private double averageLengthHint;
+  private long manifestRevision;
+
+  GenerationRequestHandler(
+      FleetState fleet,
+      TimerService timers,
+      GatewaySettings settings,
+      PlatformProtocol protocol,
+      RandomGenerator random,
+      Peers peers,
+      long incarnation,
+      Executor eventExecutor,
+      GatewayMetrics metrics) {
+    this.metrics = metrics;
+    this.peers = peers;
+    this.fleet = fleet;
+    this.timers = timers;
+    this.settings = settings;
+    this.random = random;
+    this.eventExecutor = eventExecutor;
+    this.router = new NodeRouter(settings.host(), settings.region(), incarnation, random);
+    this.engineCalls = new EngineCalls(fleet, timers, protocol, metrics, this::postEvent);
+    this.runner = new PolicyRunner(timers, router, this::execute);
+  }
+
+  /** Starts to join the fleet of peers. */
+  void start() {
+    peers.start(runner::handle);
+  }
+
+  /** Returns the number of requests in progress. */
+  int openRequests() {
+    return streams.size();
+  }
+
+  /** Passes a manifest of the current configuration and engines to the router. */
+  void onFleetChange() {
+    var manifest = FleetManifest.of(fleet, settings);
+    if (manifest != null) {
+      manifestRevision++;
+      runner.handle(new RoutingEvent.ManifestApplied(manifestRevision, manifest));
+    }
+  }
+
+  /** Passes a new request to the router. */
+  void start(RoutedExchange exchange) {
+    RequestMetadata metadata = exchange.metadata();
+    long received = exchange.caller().receivedNanos();
+    long target = exchange.route().latencyTarget().toNanos();
+    long targetTime = received + target - exchange.earlierWaitNanos();
+    boolean late = targetTime - timers.nanos() < MIN_FIRST_TOKEN_NANOS;
+    long firstTokenDeadline =
+        late
+            ? timers.nanos() + (long) (LATE_REQUEST_WAIT_FACTOR * target)
+            : targetTime + (long) (PREDICTION_SLACK * target);
+    GenerationRequest request =
+        new GenerationRequest(
+            new RequestId(exchange.localId()),
+            late ? LATE : IN_TIME,
+            new ModelId(FleetManifest.modelName(exchange.service().name())),
+            Math.max(1, metadata.promptTokens()),
+            Math.max(1, metadata.maxOutputTokens()),
+            exchange.caller().body().length,
+            FleetManifest.prefixBlocks(metadata.promptParts()),
+            new Fingerprint(FleetManifest.fingerprint(exchange)),
+            Math.min(exchange.deadlineNanos(), firstTokenDeadline),
+            exchange.deadlineNanos(),
+            exchange.route().repeatable(),
+            exchange.route().maxAttempts(),
+            plannedOutputTokens(metadata));
+    EventLog.log(
+        LogEvent.GENERATION_ARRIVED,
+        exchange.callerRequestId(),
+        exchange.localId(),
+        exchange.route().name(),
+        metadata.promptTokens(),
+        metadata.maxOutputTokens(),
+        metadata.lengthHint(),
+        late,
+        exchange.earlierWaitNanos() / 1_000_000);
+    GenerationStream s = new GenerationStream(exchange);
+    streams.put(request.id(), s);
+    streamsByCaller.put(exchange.caller(), s);
+    runner.handle(new RoutingEvent.RequestArrived(request));
+  }
+
+  /**
+   * Returns the number of output tokens to plan KV memory for. Outputs grow while they are
+   * generated, so on average half of each output is in memory.
+   */
+  private int plannedOutputTokens(RequestMetadata metadata) {
+    if (metadata.lengthHint() <= 0) {
+      return Math.max(1, metadata.maxOutputTokens());
+    }
+    double average = averageLengthHint == 0 ? metadata.lengthHint() : averageLengthHint;
+    averageLengthHint = average + HINT_SMOOTHING_FACTOR * (metadata.lengthHint() - average);
+    double expected = HINT_WEIGHT * metadata.lengthHint() + (1 - HINT_WEIGHT) * average;
+    return (int)
+        Math.clamp(expected * AVERAGE_OUTPUT_IN_MEMORY, 1, Math.max(1, metadata.maxOutputTokens()));
+  }
+
+  /**
+   * Cancels the request of a caller that disconnected.
+   *
+   * @return whether this handler had a request of that caller
+   */
+  boolean callerDisconnected(CallerExchange caller) {
+    GenerationStream s = streamsByCaller.get(caller);
+    if (s == null) {
+      return false;
+    }
+    s.exchange.recordOutcome("caller_left", null, 0);
+    removeStream(s);
+    runner.handle(new RoutingEvent.CallerGone(s.id));
+    return true;
+  }
+
+  private void removeStream(GenerationStream s) {
+    streams.remove(s.id);
+    streamsByCaller.remove(s.exchange.caller());
+  }
+
+  /** Passes an event to the router after the event in progress has been processed. */
+  private void postEvent(RoutingEvent event) {
+    eventExecutor.execute(() -> runner.handle(event));
+  }
+
+  private void execute(RoutingCommand command) {
+    switch (command) {
+      case RoutingCommand.ReserveEngine c ->
+          withStream(c.attempt(), s -> engineCalls.reserve(s, c));
+      case RoutingCommand.StartPrefill c ->
+          withStream(c.attempt(), s -> engineCalls.startPrefill(s, c));
+      case RoutingCommand.StartDecode c ->
+          withStream(c.attempt(), s -> engineCalls.startDecode(s, c));
+      case RoutingCommand.CancelAttempt c -> engineCalls.cancel(c.attempt());
+      case RoutingCommand.ReleaseKv c -> engineCalls.releaseKv(c.handle());
+      case RoutingCommand.Refuse c -> refuse(c);
+      case RoutingCommand.Complete c -> complete(c.request());
+      case RoutingCommand.Explain c -> logDecision(c);
+      case RoutingCommand.SendPeer c -> peers.send(c.to(), c.message());
+      case RoutingCommand.CancelHeld c -> {
+        // Engines cancel the work of a dead node themselves when its connections close.
+      }
+      case RoutingCommand.SetTimer c ->
+          throw new IllegalStateException("timer command not handled by PolicyRunner: " + c);
+      case RoutingCommand.CancelTimer c ->
+          throw new IllegalStateException("timer command not handled by PolicyRunner: " + c);
+    }
+  }
+
+  private void logDecision(RoutingCommand.Explain c) {
+    GenerationStream s = streams.get(c.request());
+    String caller = s == null ? "-" : s.exchange.callerRequestId();
+    metrics.countDecision(c.rule());
+    EventLog.log(LogEvent.DECISION, caller, c.request(), c.rule(), c.detail());
+  }
+
+  private void withStream(AttemptId attempt, Consumer<GenerationStream> action) {
+    GenerationStream s = streams.get(attempt.request());
+    if (s != null) {
+      action.accept(s);
+    }
+  }
+
+  private void refuse(RoutingCommand.Refuse c) {
+    GenerationStream s = streams.get(c.request());
+    if (s == null) {
+      return;
+    }
+    removeStream(s);
+    UpstreamAnswer failed = s.lastErrorResponse;
+    if (failed != null && !s.exchange.caller().started()) {
+      s.exchange.sendResponse(failed, "last_server_error");
+    } else {
+      Duration retryAfter = c.retryAfter();
+      s.exchange.fail(
+          c.code(),
+          c.detail(),
+          retryAfter.isZero()
+              ? retryAfter
+              : RetryLimits.retryAfter(s.exchange, timers.nanos(), random));
+    }
+  }
+
+  private void complete(RequestId id) {
+    GenerationStream s = streams.get(id);
+    if (s != null) {
+      removeStream(s);
+      s.logTiming();
+      metrics.recordLongestPause(s.timing.longestPauseNanos());
+      s.exchange.recordOutcome("completed", null, HTTP_OK);
+      s.exchange.caller().end();
+    }
+  }
+}
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
@@ -8,46 +8,50 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** A generation request in progress. */
+/** The state of a generation request in progress. */
 final class GenerationStream {
-  final Exchange exchange;
+  final RoutedExchange exchange;
   final RequestId id;
-  final EventStream events = new EventStream();
-  final StreamTimes times;
+  final SseEventSplitter events = new SseEventSplitter();
+  final StreamTiming timing;
 
-  /** The last failure that an upstream itself answered; null for none. */
-  @Nullable UpstreamAnswer failed;
+  /** The last error response of an upstream; null if there was none. */
+  @Nullable UpstreamAnswer lastErrorResponse;
 
-  GenerationStream(Exchange exchange) {
+  GenerationStream(RoutedExchange exchange) {
     this.exchange = exchange;
-    this.id = new RequestId(exchange.name());
-    this.times = new StreamTimes(exchange.caller().receivedNanos());
+    this.id = new RequestId(exchange.localId());
+    this.timing = new StreamTiming(exchange.caller().receivedNanos());
   }
 
-  UpstreamCallPlan plan(Instance target, UpstreamCallPlan.Work work, @Nullable String reservation) {
-    long left = (exchange.endNanos() - System.nanoTime()) / 1_000_000;
-    return new UpstreamCallPlan(target, Math.max(1, left), work, events.lastId(), reservation);
+  /** Returns the plan of a call that resumes after the last event sent to the caller. */
+  UpstreamCallPlan callPlan(
+      Instance target, UpstreamCallPlan.Work work, @Nullable String reservationId) {
+    long remainingMillis = (exchange.deadlineNanos() - System.nanoTime()) / 1_000_000;
+    return new UpstreamCallPlan(
+        target, Math.max(1, remainingMillis), work, events.lastEventId(), reservationId);
   }
 
-  /** Logs when the events of a complete stream went to the caller. */
-  void logTimes() {
+  /** Logs the timing of the events of a complete stream. */
+  void logTiming() {
     EventLog.log(
         LogEvent.STREAM_DELIVERED,
-        exchange.callerId(),
-        times.events(),
-        times.firstMillis(),
-        times.longestPauseNanos() / 1_000_000,
-        times.longestPauseAfter());
+        exchange.callerRequestId(),
+        timing.eventCount(),
+        timing.firstEventMillis(),
+        timing.longestPauseNanos() / 1_000_000,
+        timing.eventsBeforeLongestPause());
   }
 
-  void logSent(Instance target, String stage, AttemptId attempt) {
+  /** Logs that a stage of the request is sent to an engine. */
+  void logStageSent(Instance target, String stage, AttemptId attempt) {
     EventLog.log(
         LogEvent.STAGE_SENT,
-        exchange.callerId(),
+        exchange.callerRequestId(),
         attempt,
         stage,
         target.id(),
         target.zone(),
-        events.events());
+        events.eventCount());
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/NoPeers.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/NoPeers.java
@@ -7,11 +7,14 @@
 import org.mustardlatch.core.routing.Member;
 import org.mustardlatch.core.routing.RoutingEvent;
 
-/** A node on its own, which admits to all cells of its region. */
+/**
+ * The {@link Peers} of a standalone node, which is the admitting node of all cells of its region. A
+ * cell is the engines of one model in one region.
+ */
 public final class NoPeers implements Peers {
   private final Member self;
 
-  /** Creates the peers of a node that has none. */
+  /** Creates the peers of a standalone node with these settings. */
   public NoPeers(GatewaySettings settings) {
     this.self = new Member(settings.host(), settings.region(), settings.zone(), 0);
   }
@@ -23,7 +26,7 @@
 
   @Override
   public void send(HostId to, PeerMessage message) {
-    throw new IllegalStateException("there is no peer " + to);
+    throw new IllegalStateException("a standalone node has no peer " + to);
   }
 
   @Override
--- a/gateway/src/main/java/org/mustardlatch/gateway/PageServer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/PageServer.java
@@ -17,8 +17,14 @@
 
 /** Serves small pages by path, such as readiness and metrics. */
 final class PageServer implements CallerHandler {
-  /** A page. */
-  record Page(int status, String type, String text) {}
+  /**
+   * A page.
+   *
+   * @param status HTTP status
+   * @param contentType value of the Content-Type header
+   * @param body text of the page
+   */
+  record Page(int status, String contentType, String body) {}
 
   private final CallerServer server;
   private final Map<String, Supplier<Page>> pages = new HashMap<>();
@@ -27,7 +33,8 @@
     this.server = new CallerServer(loop, timers, address, this, () -> CallerLimits.DEFAULT);
   }
 
-  void page(String path, Supplier<Page> content) {
+  /** Adds a page whose content is computed at every request to its path. */
+  void addPage(String path, Supplier<Page> content) {
     pages.put(path, content);
   }
 
@@ -37,14 +44,14 @@
 
   @Override
   public void request(CallerExchange exchange) {
-    String path = exchange.head().uri();
-    int query = path.indexOf('?');
-    Supplier<Page> page = pages.get(query < 0 ? path : path.substring(0, query));
+    String target = exchange.head().uri();
+    int query = target.indexOf('?');
+    Supplier<Page> page = pages.get(query < 0 ? target : target.substring(0, query));
     Page p = page == null ? new Page(404, "text/plain", "not found\n") : page.get();
     HttpHeaders headers = new DefaultHttpHeaders(false);
-    headers.set("Content-Type", p.type());
+    headers.set("Content-Type", p.contentType());
     exchange.answer(
-        HttpResponseStatus.valueOf(p.status()), headers, p.text().getBytes(StandardCharsets.UTF_8));
+        HttpResponseStatus.valueOf(p.status()), headers, p.body().getBytes(StandardCharsets.UTF_8));
   }
 
   @Override
--- a/gateway/src/main/java/org/mustardlatch/gateway/Peers.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Peers.java
@@ -7,24 +7,25 @@
 import org.mustardlatch.core.routing.Member;
 import org.mustardlatch.core.routing.RoutingEvent;
 
-/** The other nodes of the fleet, with which this one admits work. */
+/** The connection of this node to the other nodes of the fleet. */
 public interface Peers {
   /**
    * Starts to join the fleet.
    *
-   * @param events takes members and messages, on the thread of the data path
+   * @param events receives changes of the members and messages of peers, on the event loop of the
+   *     data path
    */
   void start(Consumer<RoutingEvent> events);
 
-  /** Sends a message; it may be lost. */
+  /** Sends a message to a peer. Delivery is not guaranteed. */
   void send(HostId to, PeerMessage message);
 
-  /** Returns the live nodes, this one included. */
+  /** Returns the live nodes of the fleet, including this one. */
   List<Member> members();
 
-  /** Tells the others that this node is about to stop. */
+  /** Notifies the other nodes that this node is about to stop. */
   void leave();
 
-  /** Closes all connections. */
+  /** Closes all connections to peers. */
   void stop();
 }
--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RetryLimits.java
@@ -0,0 +1,41 @@
+package org.mustardlatch.gateway;
+
+import java.time.Duration;
+import java.util.random.RandomGenerator;
+import org.mustardlatch.core.balancing.RepeatBudget;
+
+/** Limits on repeated requests: this node's retry budget and the Retry-After time of callers. */
+final class RetryLimits {
+  // Each node gets an equal share of the fleet's extra retries. A node that sees few others may be
+  // partitioned from the rest, so it assumes a fleet of at least this size.
+  private static final int MIN_NODES = 10;
+  // Callers respect a Retry-After time of up to a third of their remaining time. A
+  // divisor of 3.2 stays below that limit.
+  private static final double REMAINING_TIME_DIVISOR = 3.2;
+  private static final long MIN_RETRY_AFTER_MILLIS = 20;
+
+  private RetryLimits() {}
+
+  /**
+   * Returns one node's retry budget for one service.
+   *
+   * @param nodes number of live nodes as last observed by this node
+   */
+  static RepeatBudget budgetPerNode(GatewaySettings settings, int nodes) {
+    double units = settings.retryBudgetExtra() / Math.max(MIN_NODES, nodes);
+    // With a capacity below one unit no request could ever be retried.
+    return new RepeatBudget(units / 2, Math.max(1, units));
+  }
+
+  /**
+   * Returns a random Retry-After time that spreads the retries of refused callers over a part of
+   * their remaining time.
+   *
+   * @param now monotonic time, nanoseconds
+   */
+  static Duration retryAfter(RoutedExchange exchange, long now, RandomGenerator random) {
+    long limit = (long) ((exchange.deadlineNanos() - now) / 1e6 / REMAINING_TIME_DIVISOR);
+    long longest = Math.max(limit, MIN_RETRY_AFTER_MILLIS);
+    return Duration.ofMillis(random.nextLong(longest / 3, longest + 1));
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
@@ -0,0 +1,205 @@
+package org.mustardlatch.gateway;
+
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.DefaultHttpRequest;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpVersion;
+import java.time.Duration;
+import org.jspecify.annotations.Nullable;
+import org.mustardlatch.core.error.ErrorCode;
+import org.mustardlatch.gateway.config.GatewayRoute;
+import org.mustardlatch.gateway.config.GatewayService;
+import org.mustardlatch.gateway.http.CallRequest;
+import org.mustardlatch.gateway.http.CallerExchange;
+import org.mustardlatch.gateway.http.HopByHop;
+import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.log.EventLog;
+import org.mustardlatch.gateway.log.LogEvent;
+
+/**
+ * A caller's request that matched a route. Builds the upstream requests, sends the response or
+ * error to the caller and records the outcome in the log and the metrics.
+ */
+final class RoutedExchange {
+  // Callers of one route differ in the timeout of their first attempt. Only a timeout below this
+  // fraction of the longest one indicates that the caller retries after a refusal.
+  private static final double MIN_FIRST_ATTEMPT_TIMEOUT_FRACTION = 0.85;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  private final String localId;
+  private final CallerExchange caller;
+  private final RequestMetadata metadata;
+  private final GatewayRoute route;
+  private final GatewayService service;
+  private final PlatformProtocol protocol;
+  private final GatewayMetrics metrics;
+  private final long deadlineNanos;
+  private final long earlierWaitNanos;
+  private int possibleExecutions;
+
+  RoutedExchange(
+      String localId,
+      CallerExchange caller,
+      RequestMetadata metadata,
+      GatewayRoute route,
+      GatewayService service,
+      PlatformProtocol protocol,
+      Duration firstAttemptTimeout,
+      GatewayMetrics metrics) {
+    this.localId = localId;
+    this.caller = caller;
+    this.metadata = metadata;
+    this.route = route;
+    this.service = service;
+    this.metrics = metrics;
+    this.protocol = protocol;
+    long timeoutMillis = route.timeout().toMillis();
+    Long statedMillis = metadata.deadlineMillis();
+    if (statedMillis != null) {
+      timeoutMillis = Math.min(timeoutMillis, Math.max(1, statedMillis));
+    }
+    this.earlierWaitNanos =
+        statedMillis == null
+            ? 0
+            : Math.max(
+                0,
+                (long) (firstAttemptTimeout.toNanos() * MIN_FIRST_ATTEMPT_TIMEOUT_FRACTION)
+                    - statedMillis * 1_000_000);
+    this.deadlineNanos = caller.receivedNanos() + Duration.ofMillis(timeoutMillis).toNanos();
+  }
+
+  /** Returns this node's id of the request; unique on the node, unlike the ids of callers. */
+  String localId() {
+    return localId;
+  }
+
+  CallerExchange caller() {
+    return caller;
+  }
+
+  RequestMetadata metadata() {
+    return metadata;
+  }
+
+  GatewayRoute route() {
+    return route;
+  }
+
+  GatewayService service() {
+    return service;
+  }
+
+  /**
+   * Returns the estimated time that the caller spent in earlier attempts that were refused,
+   * nanoseconds.
+   */
+  long earlierWaitNanos() {
+    return earlierWaitNanos;
+  }
+
+  /** Returns the monotonic time after which the caller no longer waits, nanoseconds. */
+  long deadlineNanos() {
+    return deadlineNanos;
+  }
+
+  /** Returns the caller's id of the request, or "-" if it sent none. */
+  String callerRequestId() {
+    String id = metadata.requestId();
+    return id == null ? "-" : id;
+  }
+
+  /** Records that the request was sent to an upstream, which may execute it from now on. */
+  void recordSent() {
+    possibleExecutions++;
+  }
+
+  /** Records that an upstream stated that it did not execute the request sent to it. */
+  void recordNotExecuted() {
+    possibleExecutions--;
+  }
+
+  /** Returns the request to send to an upstream. */
+  CallRequest toUpstreamRequest(UpstreamCallPlan plan) {
+    HttpRequest original = caller.head();
+    HttpHeaders headers = new DefaultHttpHeaders(false);
+    headers.add(original.headers());
+    HopByHop.strip(headers);
+    protocol.rewriteHeaders(headers, plan);
+    var head =
+        new DefaultHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(), headers);
+    boolean repeatable = route.repeatable() || plan.work() instanceof UpstreamCallPlan.Work.Prefill;
+    return new CallRequest(head, caller.body(), repeatable, this::isResponseToThisRequest);
+  }
+
+  private boolean isResponseToThisRequest(HttpResponse response) {
+    String id = protocol.readResponse(response).requestId();
+    return id == null || id.equals(metadata.requestId());
+  }
+
+  /** Sends an upstream's complete response to the caller. */
+  void sendResponse(UpstreamAnswer response, String upstream) {
+    recordOutcome("delivered", upstream, response.status());
+    caller.answer(response.head().status(), response.head().headers(), response.body());
+  }
+
+  /**
+   * Sends an error to the caller, or aborts the connection if a response has already begun.
+   *
+   * @param retryAfter time after which the caller may retry; zero for no Retry-After header
+   */
+  void fail(ErrorCode code, String reason, Duration retryAfter) {
+    if (caller.done()) {
+      return;
+    }
+    if (caller.started()) {
+      recordOutcome("broken_off", reason, 0);
+      caller.abort();
+      return;
+    }
+    int status = statusFor(code);
+    recordOutcome("failed", reason, status);
+    Duration retryDelay = status == SERVICE_UNAVAILABLE ? retryAfter : Duration.ZERO;
+    ErrorResponse.send(caller, status, code, reason, retryDelay);
+  }
+
+  /**
+   * Returns the HTTP status of an error. A status that implies that the request was not executed is
+   * only used if every upstream that got the request stated so.
+   */
+  private int statusFor(ErrorCode code) {
+    int status = code.httpStatus();
+    boolean impliesNotExecuted =
+        status == SERVICE_UNAVAILABLE || status == 429 || status == 408 || status == 421;
+    if (impliesNotExecuted && possibleExecutions > 0) {
+      return ErrorCode.UPSTREAM_FAILED.httpStatus();
+    }
+    if (status >= 500 && possibleExecutions == 0) {
+      return ErrorCode.UPSTREAM_UNAVAILABLE.httpStatus();
+    }
+    return status;
+  }
+
+  /**
+   * Records that the first byte of the response is sent to the caller.
+   *
+   * @param now monotonic time, nanoseconds
+   */
+  void recordFirstByte(long now) {
+    metrics.recordFirstByte(route.kind(), now - caller.receivedNanos());
+  }
+
+  /** Logs and counts the outcome of the request. */
+  void recordOutcome(String outcome, @Nullable String detail, int status) {
+    metrics.countRequest(route.kind(), outcome, status);
+    EventLog.log(
+        LogEvent.REQUEST_ENDED,
+        callerRequestId(),
+        localId,
+        route.name(),
+        outcome,
+        status,
+        String.valueOf(detail));
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/SseEventSplitter.java
@@ -0,0 +1,79 @@
+package org.mustardlatch.gateway;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Splits a stream of server-sent events at event boundaries and records the id of the last event.
+ * Only complete events are forwarded, so that a stream resumed on another engine never contains a
+ * part of an event.
+ */
+final class SseEventSplitter {
+  private static final byte LINE_FEED = '\n';
+  private static final String ID_FIELD = "id:";
+
+  private final ByteArrayOutputStream incompleteEvent = new ByteArrayOutputStream();
+  private @Nullable String lastEventId;
+  private int eventCount;
+
+  /** Adds received bytes and returns the events that they complete; may be empty. */
+  ByteBuf append(ByteBuf part) {
+    byte[] bytes = new byte[part.readableBytes()];
+    part.readBytes(bytes);
+    incompleteEvent.writeBytes(bytes);
+    byte[] all = incompleteEvent.toByteArray();
+    int completeEnd = 0;
+    int eventStart = 0;
+    int lineStart = 0;
+    for (int i = 0; i < all.length; i++) {
+      if (all[i] == LINE_FEED) {
+        if (isBlank(all, lineStart, i)) {
+          recordEvent(all, eventStart, i + 1);
+          completeEnd = i + 1;
+          eventStart = completeEnd;
+        }
+        lineStart = i + 1;
+      }
+    }
+    incompleteEvent.reset();
+    incompleteEvent.write(all, completeEnd, all.length - completeEnd);
+    return Unpooled.wrappedBuffer(all, 0, completeEnd);
+  }
+
+  private static boolean isBlank(byte[] all, int from, int to) {
+    return from == to || (to == from + 1 && all[from] == '\r');
+  }
+
+  private void recordEvent(byte[] all, int from, int to) {
+    eventCount++;
+    for (String line :
+        new String(all, from, to - from, StandardCharsets.UTF_8).split("\r?\n", -1)) {
+      if (line.startsWith(ID_FIELD)) {
+        lastEventId = line.substring(ID_FIELD.length()).strip();
+      }
+    }
+  }
+
+  /** Returns the bytes received after the last complete event. */
+  byte[] incompleteEventBytes() {
+    return incompleteEvent.toByteArray();
+  }
+
+  /** Discards the incomplete event of a stream that was interrupted. */
+  void discardIncompleteEvent() {
+    incompleteEvent.reset();
+  }
+
+  /** Returns the id of the last complete event that had one, or null if none had. */
+  @Nullable String lastEventId() {
+    return lastEventId;
+  }
+
+  /** Returns the number of complete events so far. */
+  int eventCount() {
+    return eventCount;
+  }
+}
--- a/gateway/src/main/java/org/mustardlatch/gateway/UpstreamCallPlan.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/UpstreamCallPlan.java
@@ -4,40 +4,41 @@
 import org.mustardlatch.gateway.config.Instance;
 
 /**
- * What the router adds to a request that it sends to an upstream.
+ * The routing information that is added to a request to an upstream.
  *
- * @param target the upstream that must answer
- * @param remainingMillis time left for the answer, milliseconds, at least 1
- * @param work what the upstream is to do
- * @param reservation the engine's name of the room that it keeps for this request; null for none
- * @param resumeAfter id of the last event that the caller has; null to start at the beginning
+ * @param target the upstream that must respond
+ * @param remainingMillis time left for the response, milliseconds, at least 1
+ * @param work the work that the upstream is to do
+ * @param resumeAfterEventId id of the last event that the caller received; null to start at the
+ *     beginning
+ * @param reservationId the engine's id of the reservation for this request; null for none
  */
 public record UpstreamCallPlan(
     Instance target,
     long remainingMillis,
     Work work,
-    @Nullable String resumeAfter,
-    @Nullable String reservation) {
-  /** What an upstream is asked for. */
+    @Nullable String resumeAfterEventId,
+    @Nullable String reservationId) {
+  /** The part of a request that one upstream processes. */
   public sealed interface Work {
-    /** The whole answer. */
+    /** The complete request: an application request, or a prefill and its decode. */
     record Whole() implements Work {}
 
-    /** The KV cache of the prompt. */
+    /** The prefill only, which computes the KV cache of the prompt. */
     record Prefill() implements Work {}
 
     /**
-     * The answer, from a KV cache that another engine holds.
+     * The decode only, from a KV cache that another engine retains.
      *
-     * @param source the engine that holds it
-     * @param reference the engine's name for it
+     * @param source the engine that retains the KV cache
+     * @param reference that engine's id of the KV cache
      */
     record Decode(Instance source, String reference) implements Work {}
   }
 
-  /** The whole answer. */
+  /** The complete request. */
   public static final Work WHOLE = new Work.Whole();
 
-  /** The KV cache of the prompt. */
+  /** The prefill only. */
   public static final Work PREFILL = new Work.Prefill();
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.mustardlatch.core.time.TimerService;
-import org.mustardlatch.gateway.Fleet;
+import org.mustardlatch.gateway.FleetState;
 import org.mustardlatch.gateway.Gateway;
 import org.mustardlatch.gateway.GatewaySettings;
 import org.mustardlatch.gateway.NoPeers;
@@ -39,7 +39,7 @@
     TimerService timers = new NettyTimerService(loop);
     RandomGenerator random =
         new SplittableRandom(System.nanoTime() ^ ports.settings().host().hashCode());
-    Fleet fleet = new Fleet(loop, timers);
+    FleetState fleet = new FleetState(loop, timers);
     GatewaySettings settings = ports.settings();
     // Processes of a host start one after another, so the time of day tells them apart.
     long incarnation = System.currentTimeMillis();
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/NodePorts.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/NodePorts.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import org.mustardlatch.gateway.GatewaySettings;
-import org.mustardlatch.gateway.UpstreamProtocol;
+import org.mustardlatch.gateway.PlatformProtocol;
 import org.mustardlatch.gateway.config.GatewayConfiguration;
 import org.mustardlatch.gateway.config.Instance;
 import org.mustardlatch.gateway.store.StoreCodec;
@@ -19,6 +19,6 @@
 public record NodePorts(
     GatewaySettings settings,
     InetSocketAddress store,
-    UpstreamProtocol protocol,
+    PlatformProtocol protocol,
     StoreCodec<GatewayConfiguration> configuration,
     StoreCodec<Instance> instances) {}
--- a/gateway/src/main/java/org/mustardlatch/gateway/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/package-info.java
@@ -1,4 +1,7 @@
-/** The data path: takes requests of callers, forwards them byte for byte, returns the answers. */
+/**
+ * The data path: receives the requests of callers, forwards them unmodified to upstreams and
+ * returns the responses.
+ */
 @NullMarked
 package org.mustardlatch.gateway;
 
--- a/gateway/src/test/java/org/mustardlatch/gateway/DataPathTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/DataPathTest.java
@@ -20,27 +20,30 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.gateway.config.EngineStage;
 
-/** Guards against requests and answers that change, mix, double or vanish on their way. */
+/**
+ * Guards against requests and responses that are altered, mixed up, duplicated or lost between
+ * caller and upstream.
+ */
 class DataPathTest {
-  private static final String OK =
+  private static final String OK_RESPONSE =
       "HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\nContent-Length: 4\r\n\r\ndone";
 
-  private ScriptedUpstream one;
-  private ScriptedUpstream two;
-  private RunningGateway gateway;
+  private ScriptedUpstream firstUpstream;
+  private ScriptedUpstream secondUpstream;
+  private TestGateway gateway;
 
   @BeforeEach
   void start() throws Exception {
-    one = new ScriptedUpstream();
-    two = new ScriptedUpstream();
-    gateway = new RunningGateway();
+    firstUpstream = new ScriptedUpstream();
+    secondUpstream = new ScriptedUpstream();
+    gateway = new TestGateway();
   }
 
   @AfterEach
   void stop() throws Exception {
     gateway.close();
-    one.close();
-    two.close();
+    firstUpstream.close();
+    secondUpstream.close();
   }
 
   private static String get(String path) {
@@ -57,25 +60,25 @@
   }
 
   @Test
-  void passesMethodTargetAndBodyOnUnchanged() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(OK);
+  void forwardsMethodTargetAndBodyUnchanged() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(OK_RESPONSE);
     String target = "/once/a//b/../%2F;x=1?q=a+b&q=%zz";
 
-    assertThat(gateway.exchange(post(target, "some body"))).endsWith("done");
-    assertThat(one.requests().getFirst()).startsWith("POST " + target + " HTTP/1.1\r\n");
-    assertThat(one.requests().getFirst()).endsWith("\r\n\r\nsome body");
+    assertThat(gateway.sendAndReadAll(post(target, "some body"))).endsWith("done");
+    assertThat(firstUpstream.requests().getFirst()).startsWith("POST " + target + " HTTP/1.1\r\n");
+    assertThat(firstUpstream.requests().getFirst()).endsWith("\r\n\r\nsome body");
   }
 
   @Test
-  void passesRepeatedHeadersOnInTheirOrder() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(
+  void forwardsRepeatedHeadersInOrder() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(
         "HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n"
             + "Content-Length: 4\r\n\r\ndone");
 
-    String answer =
-        gateway.exchange(
+    String response =
+        gateway.sendAndReadAll(
             """
             GET /once/x HTTP/1.1
             Host: host
@@ -87,31 +90,34 @@
             """
                 .replace("\n", "\r\n"));
 
-    assertThat(headers(one.requests().getFirst(), "tag")).containsExactly("one", "two").inOrder();
-    assertThat(headers(answer, "set-cookie")).containsExactly("a=1", "b=2").inOrder();
+    assertThat(headers(firstUpstream.requests().getFirst(), "tag"))
+        .containsExactly("one", "two")
+        .inOrder();
+    assertThat(headers(response, "set-cookie")).containsExactly("a=1", "b=2").inOrder();
   }
 
   @Test
-  void sendsAllOfABodyThatWasAnsweredEarlyBeforeAnythingElse() throws Exception {
+  void sendsTheWholeBodyBeforeTheNextRequestWhenTheResponseComesEarly() throws Exception {
     String body = "b".repeat(200_000);
     List<String> heads = new CopyOnWriteArrayList<>();
     List<Integer> lengths = new CopyOnWriteArrayList<>();
     try (ServerSocket server = new ServerSocket()) {
-      // A small window, so that the body is not in the kernel's buffers when the answer comes.
+      // A small receive window, so that a part of the body is still unsent when the response
+      // arrives.
       server.setReceiveBufferSize(4_096);
       server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      Thread.ofVirtual().start(() -> answerEarly(server, heads, lengths));
-      gateway.app("early", (InetSocketAddress) server.getLocalSocketAddress());
+      Thread.ofVirtual().start(() -> respondEarly(server, heads, lengths));
+      gateway.addApplication("early", (InetSocketAddress) server.getLocalSocketAddress());
 
-      assertThat(gateway.exchange(post("/once/x", body))).endsWith("done");
-      assertThat(gateway.exchange(post("/once/y", "next"))).endsWith("done");
+      assertThat(gateway.sendAndReadAll(post("/once/x", body))).endsWith("done");
+      assertThat(gateway.sendAndReadAll(post("/once/y", "next"))).endsWith("done");
     }
     assertThat(heads.get(1)).startsWith("POST /once/y HTTP/1.1\r\n");
     assertThat(lengths).contains(4);
   }
 
-  /** Answers each request once its head is in, and reads its body only afterwards. */
-  private static void answerEarly(ServerSocket server, List<String> heads, List<Integer> lengths) {
+  /** Responds to each request after its head and reads the body only afterwards. */
+  private static void respondEarly(ServerSocket server, List<String> heads, List<Integer> lengths) {
     while (!server.isClosed()) {
       try {
         Socket s = server.accept();
@@ -122,7 +128,7 @@
                     while (true) {
                       String head = ScriptedUpstream.readHead(s.getInputStream());
                       heads.add(head);
-                      s.getOutputStream().write(OK.getBytes(UTF_8));
+                      s.getOutputStream().write(OK_RESPONSE.getBytes(UTF_8));
                       s.getOutputStream().flush();
                       int length = ScriptedUpstream.bodyLength(head);
                       lengths.add(s.getInputStream().readNBytes(length).length);
@@ -138,15 +144,16 @@
   }
 
   @Test
-  void repeatsAnIdempotentRequestElsewhereWhenAKeptConnectionHasGoneSilent() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(OK);
-    assertThat(gateway.exchange(get("/again/x"))).endsWith("done");
-    gateway.app("two", two);
-    for (int i = 0; one.requests().size() < 2; i++) {
-      assertWithMessage("requests that went to the other upstream").that(i).isLessThan(20);
-      two.thenAnswer(OK);
-      assertThat(gateway.exchange(get("/again/x"))).endsWith("done");
+  void sendsAnIdempotentRequestToAnotherUpstreamWhenAKeptConnectionStopsResponding()
+      throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(OK_RESPONSE);
+    assertThat(gateway.sendAndReadAll(get("/again/x"))).endsWith("done");
+    gateway.addApplication("two", secondUpstream);
+    for (int i = 0; firstUpstream.requests().size() < 2; i++) {
+      assertWithMessage("requests that the second upstream received").that(i).isLessThan(20);
+      secondUpstream.respondToNextRequest(OK_RESPONSE);
+      assertThat(gateway.sendAndReadAll(get("/again/x"))).endsWith("done");
     }
   }
 
@@ -160,11 +167,11 @@
   }
 
   @Test
-  void joinsARequestInChunksToOneBody() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(OK);
+  void forwardsAChunkedRequestAsOneBody() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(OK_RESPONSE);
 
-    gateway.exchange(
+    gateway.sendAndReadAll(
         """
         POST /once/x HTTP/1.1
         Host: host
@@ -181,41 +188,41 @@
         """
             .replace("\n", "\r\n"));
 
-    assertThat(one.requests().getFirst()).endsWith("\r\n\r\nabcdefg");
+    assertThat(firstUpstream.requests().getFirst()).endsWith("\r\n\r\nabcdefg");
   }
 
   @Test
-  void refusesARequestWhoseFramingHasTwoReadings() throws Exception {
-    gateway.app("one", one);
+  void rejectsARequestWithContentLengthAndTransferEncoding() throws Exception {
+    gateway.addApplication("one", firstUpstream);
     String smuggled = "GET /once/hidden HTTP/1.1\r\nHost: host\r\nId: q2\r\n\r\n";
 
-    String answer =
-        gateway.exchange(
+    String response =
+        gateway.sendAndReadAll(
             "POST /once/x HTTP/1.1\r\nHost: host\r\nId: q1\r\nContent-Length: 5\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                 + smuggled);
 
-    assertThat(answer).startsWith("HTTP/1.1 400");
-    assertThat(one.requests()).isEmpty();
+    assertThat(response).startsWith("HTTP/1.1 400");
+    assertThat(firstUpstream.requests()).isEmpty();
   }
 
   @Test
-  void takesAnAnswerWithoutLengthAsWholeAfterAnOrderlyClose() throws Exception {
-    gateway.app("one", one);
-    one.then(
+  void acceptsAResponseWithoutLengthThatEndsWithAnOrderlyClose() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.onNextRequest(
         (socket, out, request) -> {
           out.write("HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\n\r\nall of it".getBytes(UTF_8));
           out.flush();
           socket.close();
         });
 
-    assertThat(gateway.exchange(get("/once/x"))).endsWith("all of it");
+    assertThat(gateway.sendAndReadAll(get("/once/x"))).endsWith("all of it");
   }
 
   @Test
-  void doesNotTakeAnAnswerWithoutLengthAsWholeAfterAReset() throws Exception {
-    gateway.app("one", one);
-    one.then(
+  void rejectsAResponseWithoutLengthThatEndsWithAReset() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.onNextRequest(
         (socket, out, request) -> {
           out.write("HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\n\r\npart".getBytes(UTF_8));
           out.flush();
@@ -223,104 +230,106 @@
           socket.close();
         });
 
-    assertThat(gateway.exchange(get("/once/x"))).startsWith("HTTP/1.1 502");
+    assertThat(gateway.sendAndReadAll(get("/once/x"))).startsWith("HTTP/1.1 502");
   }
 
   @Test
-  void skipsAnAnswerThatBelongsToAnotherRequest() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(
-        "HTTP/1.1 200 OK\r\nId: other\r\nMark: m\r\nContent-Length: 5\r\n\r\nwrong" + OK);
+  void skipsAResponseToAnotherRequest() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(
+        "HTTP/1.1 200 OK\r\nId: other\r\nMark: m\r\nContent-Length: 5\r\n\r\nwrong" + OK_RESPONSE);
 
-    String answer = gateway.exchange(get("/once/x"));
+    String response = gateway.sendAndReadAll(get("/once/x"));
 
-    assertThat(answer).endsWith("done");
-    assertThat(answer).doesNotContain("wrong");
+    assertThat(response).endsWith("done");
+    assertThat(response).doesNotContain("wrong");
   }
 
   @Test
-  void doesNotPassOnASuccessWithoutTheMarkOfAnUpstream() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer("HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 5\r\n\r\ndebug");
+  void doesNotForwardASuccessfulResponseWithoutTheStampOfAnUpstream() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(
+        "HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 5\r\n\r\ndebug");
 
-    assertThat(gateway.exchange(get("/once/x"))).startsWith("HTTP/1.1 502");
+    assertThat(gateway.sendAndReadAll(get("/once/x"))).startsWith("HTTP/1.1 502");
   }
 
   @Test
-  void sendsARequestThatMustNotRepeatOnlyOnceWhenItsAnswerIsCut() throws Exception {
-    gateway.app("one", one).app("two", two);
-    ScriptedUpstream.Step cut =
+  void sendsANonIdempotentRequestOnlyOnceWhenItsResponseIsTruncated() throws Exception {
+    gateway.addApplication("one", firstUpstream).addApplication("two", secondUpstream);
+    ScriptedUpstream.Step truncated =
         (socket, out, request) -> {
           out.write("HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 9\r\n\r\nhal".getBytes(UTF_8));
           out.flush();
           socket.close();
         };
-    one.then(cut);
-    two.then(cut);
+    firstUpstream.onNextRequest(truncated);
+    secondUpstream.onNextRequest(truncated);
 
-    assertThat(gateway.exchange(post("/once/x", "order"))).startsWith("HTTP/1.1 502");
-    assertThat(one.requests().size() + two.requests().size()).isEqualTo(1);
+    assertThat(gateway.sendAndReadAll(post("/once/x", "order"))).startsWith("HTTP/1.1 502");
+    assertThat(firstUpstream.requests().size() + secondUpstream.requests().size()).isEqualTo(1);
   }
 
   @Test
-  void sendsARequestThatMustNotRepeatOnWhenItsUpstreamStatesThatItDidNotRun() throws Exception {
-    gateway.app("one", one).app("two", two);
+  void sendsANonIdempotentRequestToAnotherUpstreamWhenTheFirstDidNotExecuteIt() throws Exception {
+    gateway.addApplication("one", firstUpstream).addApplication("two", secondUpstream);
     String refusal = "HTTP/1.1 503 Busy\r\nId: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-    one.thenAnswer(refusal).thenAnswer(OK);
-    two.thenAnswer(OK);
-    // Both orders of the two upstreams lead to an answer.
-    assertThat(gateway.exchange(post("/once/x", "order"))).endsWith("done");
+    firstUpstream.respondToNextRequest(refusal).respondToNextRequest(OK_RESPONSE);
+    secondUpstream.respondToNextRequest(OK_RESPONSE);
+    // Either upstream may be selected first; both orders lead to a successful response.
+    assertThat(gateway.sendAndReadAll(post("/once/x", "order"))).endsWith("done");
   }
 
   @Test
-  void refusesWithNotRunOnlyWhenEveryUpstreamStatedIt() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer("HTTP/1.1 503 Busy\r\nId: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+  void respondsServiceUnavailableWhenTheOnlyUpstreamDidNotExecuteTheRequest() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(
+        "HTTP/1.1 503 Busy\r\nId: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
-    String answer = gateway.exchange(post("/once/x", "order"));
+    String response = gateway.sendAndReadAll(post("/once/x", "order"));
 
-    assertThat(answer).startsWith("HTTP/1.1 503");
-    assertThat(answer).contains("Retry-After: ");
+    assertThat(response).startsWith("HTTP/1.1 503");
+    assertThat(response).contains("Retry-After: ");
   }
 
   @Test
-  void repeatsAnIdempotentRequestElsewhereWhenItsAnswerIsCut() throws Exception {
-    gateway.app("one", one).app("two", two);
-    ScriptedUpstream.Step cut =
+  void sendsAnIdempotentRequestToAnotherUpstreamWhenTheConnectionIsReset() throws Exception {
+    gateway.addApplication("one", firstUpstream).addApplication("two", secondUpstream);
+    ScriptedUpstream.Step reset =
         (socket, out, request) -> {
           socket.setSoLinger(true, 0);
           socket.close();
         };
-    one.then(cut).thenAnswer(OK);
-    two.then(cut).thenAnswer(OK);
-    // One of the two breaks off first; the second one to be asked does so too, which ends it.
-    String answer = gateway.exchange(get("/again/x"));
-
-    assertThat(one.requests()).hasSize(1);
-    assertThat(two.requests()).hasSize(1);
-    assertThat(answer).startsWith("HTTP/1.1 502");
+    firstUpstream.onNextRequest(reset).respondToNextRequest(OK_RESPONSE);
+    secondUpstream.onNextRequest(reset).respondToNextRequest(OK_RESPONSE);
+    // The second attempt fails as well, which reaches the maximum number of attempts of the route.
+    String response = gateway.sendAndReadAll(get("/again/x"));
+
+    assertThat(firstUpstream.requests()).hasSize(1);
+    assertThat(secondUpstream.requests()).hasSize(1);
+    assertThat(response).startsWith("HTTP/1.1 502");
   }
 
   @Test
-  void tellsTheUpstreamWithinAQuarterSecondThatTheCallerLeft() throws Exception {
-    gateway.app("one", one);
-    one.then((socket, out, request) -> socket.getInputStream().read());
+  void closesTheUpstreamConnectionWithinAQuarterSecondOfTheCallersDisconnect() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.onNextRequest((socket, out, request) -> socket.getInputStream().read());
     Socket caller = gateway.connect();
     caller.getOutputStream().write(get("/once/x").getBytes(UTF_8));
     caller.getOutputStream().flush();
-    while (one.requests().isEmpty()) {
+    while (firstUpstream.requests().isEmpty()) {
       Thread.onSpinWait();
     }
 
     caller.close();
 
-    assertThat(one.closedByCaller().poll(250, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(firstUpstream.closedByClient().poll(250, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   @Test
-  void tellsTheEngineWithinAQuarterSecondThatTheCallerLeftAmidAStream() throws Exception {
-    gateway.engine("one", one, EngineStage.DECODE);
-    one.then(
+  void closesTheEngineConnectionWithinAQuarterSecondOfADisconnectDuringAStream() throws Exception {
+    gateway.addEngine("one", firstUpstream, EngineStage.DECODE);
+    firstUpstream.onNextRequest(
         (socket, out, request) -> {
           String head =
               "HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -339,27 +348,27 @@
 
     caller.close();
 
-    assertThat(one.closedByCaller().poll(250, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(firstUpstream.closedByClient().poll(250, TimeUnit.MILLISECONDS)).isTrue();
   }
 
   @Test
-  void sendsNothingToAnUpstreamWhenTheCallerLeavesBeforeItsBodyIsComplete() throws Exception {
-    gateway.app("one", one);
-    one.thenAnswer(OK);
+  void sendsNothingToAnUpstreamWhenTheCallerDisconnectsBeforeItsBodyIsComplete() throws Exception {
+    gateway.addApplication("one", firstUpstream);
+    firstUpstream.respondToNextRequest(OK_RESPONSE);
     try (Socket caller = gateway.connect()) {
       String whole = post("/once/x", "some body");
       caller.getOutputStream().write(whole.substring(0, whole.length() - 4).getBytes(UTF_8));
       caller.getOutputStream().flush();
     }
 
-    assertThat(gateway.exchange(get("/once/y"))).endsWith("done");
-    assertThat(one.requests()).hasSize(1);
+    assertThat(gateway.sendAndReadAll(get("/once/y"))).endsWith("done");
+    assertThat(firstUpstream.requests()).hasSize(1);
   }
 
   @Test
-  void breaksOffAStreamWhoseEngineBreaksOffSoThatItDoesNotLookComplete() throws Exception {
-    gateway.engine("one", one, EngineStage.DECODE);
-    one.then(
+  void abortsTheCallersStreamWhenTheEngineConnectionIsReset() throws Exception {
+    gateway.addEngine("one", firstUpstream, EngineStage.DECODE);
+    firstUpstream.onNextRequest(
         (socket, out, request) -> {
           String head =
               "HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -369,14 +378,16 @@
           socket.close();
         });
 
-    assertThrows(SocketException.class, () -> gateway.exchange(post("/stream/x", "p")));
-    assertThat(one.requests()).hasSize(1);
+    assertThrows(SocketException.class, () -> gateway.sendAndReadAll(post("/stream/x", "p")));
+    assertThat(firstUpstream.requests()).hasSize(1);
   }
 
   @Test
-  void resumesAStreamAtTheLastWholeEventWhereTheRouteAllowsIt() throws Exception {
-    gateway.engine("one", one, EngineStage.DECODE).engine("two", two, EngineStage.DECODE);
-    ScriptedUpstream.Step broken =
+  void resumesAStreamAfterTheLastCompleteEventOnAResumableRoute() throws Exception {
+    gateway
+        .addEngine("one", firstUpstream, EngineStage.DECODE)
+        .addEngine("two", secondUpstream, EngineStage.DECODE);
+    ScriptedUpstream.Step interruptFirst =
         (socket, out, request) -> {
           String head =
               "HTTP/1.1 200 OK\r\nId: q1\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -389,13 +400,13 @@
             socket.close();
           }
         };
-    one.then(broken).then(broken);
-    two.then(broken).then(broken);
+    firstUpstream.onNextRequest(interruptFirst).onNextRequest(interruptFirst);
+    secondUpstream.onNextRequest(interruptFirst).onNextRequest(interruptFirst);
 
-    String answer = gateway.exchange(post("/resumable/x", "p"));
+    String response = gateway.sendAndReadAll(post("/resumable/x", "p"));
 
-    assertThat(answer).contains("id: 1\n\n");
-    assertThat(answer).contains("id: 2\n\n");
-    assertThat(answer).endsWith("0\r\n\r\n");
+    assertThat(response).contains("id: 1\n\n");
+    assertThat(response).contains("id: 2\n\n");
+    assertThat(response).endsWith("0\r\n\r\n");
   }
 }
--- a/gateway/src/test/java/org/mustardlatch/gateway/ScriptedUpstream.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/ScriptedUpstream.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** An upstream that reads requests and does what a script says, on raw sockets. */
+/** An upstream on plain sockets that reads requests and runs one scripted step for each. */
 final class ScriptedUpstream implements AutoCloseable {
-  /** What to do with one request. */
+  /** The reaction to one request. */
   interface Step {
-    /** Answers a request, or breaks off. */
+    /** Writes a response or closes the connection. */
     void run(Socket socket, OutputStream out, String request) throws IOException;
   }
 
   private final ServerSocket server;
   private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
   private final List<String> requests = new CopyOnWriteArrayList<>();
-  private final BlockingQueue<Boolean> closedByCaller = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Boolean> closedByClient = new LinkedBlockingQueue<>();
 
   ScriptedUpstream() throws IOException {
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -36,25 +36,26 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
   }
 
-  /** Adds what to do with the next request. */
-  ScriptedUpstream then(Step step) {
+  /** Adds a step for the next request without one. */
+  ScriptedUpstream onNextRequest(Step step) {
     steps.add(step);
     return this;
   }
 
-  /** Adds a plain answer. */
-  ScriptedUpstream thenAnswer(String text) {
-    return then((socket, out, request) -> out.write(text.getBytes(StandardCharsets.UTF_8)));
+  /** Adds a step that writes a response. */
+  ScriptedUpstream respondToNextRequest(String text) {
+    return onNextRequest(
+        (socket, out, request) -> out.write(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Returns the requests so far: head, an empty line and body. */
+  /** Returns the requests received so far, each as head, empty line and body. */
   List<String> requests() {
     return requests;
   }
 
-  /** Becomes readable when a caller closes a connection. */
-  BlockingQueue<Boolean> closedByCaller() {
-    return closedByCaller;
+  /** Returns a queue with an element for each connection that the client closed. */
+  BlockingQueue<Boolean> closedByClient() {
+    return closedByClient;
   }
 
   private void accept() {
@@ -81,7 +82,7 @@
         }
       }
     } catch (IOException e) {
-      closedByCaller.add(true);
+      closedByClient.add(true);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -105,7 +106,7 @@
     return head.toString();
   }
 
-  /** Returns the length of the body that a head announces, bytes. */
+  /** Returns the Content-Length of a head, bytes; 0 if it has none. */
   static int bodyLength(String head) {
     for (String line : head.split("\r\n", -1)) {
       if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
--- a/gateway/src/test/java/org/mustardlatch/gateway/RunningGateway.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
@@ -30,22 +30,25 @@
 import org.mustardlatch.gateway.http.NettyTimerService;
 import org.mustardlatch.gateway.store.StoredEntry;
 
-/** A gateway in this process with routes /once/, /again/, /stream/ and /resumable/. */
-final class RunningGateway implements AutoCloseable {
+/**
+ * A gateway within the test process. Its routes are /once/ (not idempotent) and /again/
+ * (idempotent) to applications, /stream/ and /resumable/ to engines.
+ */
+final class TestGateway implements AutoCloseable {
   private static final InetSocketAddress ANY_PORT =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Gateway gateway;
-  private final Fleet fleet;
+  private final FleetState fleet;
   private final EventLoop loop;
   private final List<Instance> instances = new ArrayList<>();
 
-  RunningGateway() throws Exception {
+  TestGateway() throws Exception {
     loop = group.next();
     var timers = new NettyTimerService(loop);
-    fleet = new Fleet(loop, timers);
+    fleet = new FleetState(loop, timers);
     ZoneId zone = new ZoneId("a");
     var settings =
         new GatewaySettings(
@@ -67,12 +70,12 @@
             loop,
             timers,
             fleet,
-            new PlainProtocol(),
+            new TestProtocol(),
             new NoPeers(settings),
             1,
             new SplittableRandom(1));
     gateway.start();
-    onLoop(
+    runOnEventLoop(
         () ->
             fleet
                 .configurationListener()
@@ -110,26 +113,26 @@
         resumable);
   }
 
-  /** Adds an application upstream. */
-  RunningGateway app(String id, ScriptedUpstream upstream) throws Exception {
-    return app(id, upstream.address());
+  /** Registers an application upstream. */
+  TestGateway addApplication(String id, ScriptedUpstream upstream) throws Exception {
+    return addApplication(id, upstream.address());
   }
 
-  /** Adds an application upstream at an address. */
-  RunningGateway app(String id, InetSocketAddress address) throws Exception {
+  /** Registers an application upstream at an address. */
+  TestGateway addApplication(String id, InetSocketAddress address) throws Exception {
     return add(id, "app", address, null);
   }
 
-  /** Adds an engine. */
-  RunningGateway engine(String id, ScriptedUpstream upstream, EngineStage stage) throws Exception {
+  /** Registers an engine. */
+  TestGateway addEngine(String id, ScriptedUpstream upstream, EngineStage stage) throws Exception {
     return add(id, "engine", upstream.address(), stage);
   }
 
-  private RunningGateway add(
+  private TestGateway add(
       String id, String service, InetSocketAddress address, @Nullable EngineStage stage)
       throws Exception {
     instances.add(new Instance(id, 1, service, address, "a", 8, false, stage));
-    onLoop(
+    runOnEventLoop(
         () ->
             fleet
                 .instanceListener()
@@ -138,19 +141,19 @@
     return this;
   }
 
-  private void onLoop(Runnable task) throws Exception {
+  private void runOnEventLoop(Runnable task) throws Exception {
     loop.submit(task).get(5, TimeUnit.SECONDS);
   }
 
-  /** Opens a raw connection. */
+  /** Opens a TCP connection to the gateway. */
   Socket connect() throws IOException {
     Socket s = new Socket(InetAddress.getLoopbackAddress(), gateway.callerAddress().getPort());
     s.setSoTimeout(5_000);
     return s;
   }
 
-  /** Sends text on a connection of its own and returns all that comes back until it closes. */
-  String exchange(String request) throws IOException {
+  /** Sends text on a new connection and returns all bytes received until the gateway closes it. */
+  String sendAndReadAll(String request) throws IOException {
     try (Socket s = connect()) {
       s.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
       s.getOutputStream().flush();
--- a/gateway/src/test/java/org/mustardlatch/gateway/PlainProtocol.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestProtocol.java
@@ -12,12 +12,12 @@
 import org.mustardlatch.gateway.config.Instance;
 import org.mustardlatch.gateway.http.CallRequest;
 
-/** A protocol of the tests' own. */
-final class PlainProtocol implements UpstreamProtocol {
+/** A {@link PlatformProtocol} with plain headers for tests. */
+final class TestProtocol implements PlatformProtocol {
   @Override
-  public CallerRequest read(HttpHeaders headers) {
+  public RequestMetadata readRequest(HttpHeaders headers) {
     String deadline = headers.get("Wait");
-    return new CallerRequest(
+    return new RequestMetadata(
         headers.get("Id"),
         deadline == null ? null : Long.parseLong(deadline),
         headers.getInt("Prompt", 100),
@@ -27,52 +27,52 @@
   }
 
   @Override
-  public void prepare(HttpHeaders headers, UpstreamCallPlan plan) {
+  public void rewriteHeaders(HttpHeaders headers, UpstreamCallPlan plan) {
     headers.set("For", plan.target().id());
     switch (plan.work()) {
       case UpstreamCallPlan.Work.Whole w -> headers.set("Part", "whole");
       case UpstreamCallPlan.Work.Prefill p -> headers.set("Part", "prefill");
       case UpstreamCallPlan.Work.Decode d -> headers.set("Part", "decode " + d.reference());
     }
-    if (plan.resumeAfter() != null) {
-      headers.set("After", plan.resumeAfter());
+    if (plan.resumeAfterEventId() != null) {
+      headers.set("After", plan.resumeAfterEventId());
     }
   }
 
   @Override
-  public UpstreamHead read(HttpResponse response) {
+  public ResponseMetadata readResponse(HttpResponse response) {
     HttpHeaders h = response.headers();
-    return new UpstreamHead(h.get("Id"), h.contains("Not-Run"), h.contains("Mark"), null);
+    return new ResponseMetadata(h.get("Id"), h.contains("Not-Run"), h.contains("Mark"), null);
   }
 
   @Override
-  public ExportedKv readExport(byte[] body) {
+  public ExportedKv readPrefillResponse(byte[] body) {
     return new ExportedKv(new String(body, StandardCharsets.UTF_8), 100);
   }
 
   @Override
-  public CallRequest reserve(Instance engine, int tokens, Duration life) {
+  public CallRequest reservationRequest(Instance engine, int tokens, Duration timeToLive) {
     var head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reserve");
     head.headers().set("Host", "engine");
     return new CallRequest(head, new byte[0], true, r -> true);
   }
 
   @Override
-  public String readReservation(byte[] body) {
+  public String readReservationId(byte[] body) {
     return new String(body, StandardCharsets.UTF_8);
   }
 
   @Override
-  public HttpRequest dropReservation(Instance engine, String reservation) {
-    return request("/reserve/" + reservation);
+  public HttpRequest releaseReservationRequest(Instance engine, String reservationId) {
+    return deleteRequest("/reserve/" + reservationId);
   }
 
   @Override
-  public HttpRequest release(UpstreamCallPlan.Work.Decode kv) {
-    return request("/kv/" + kv.reference());
+  public HttpRequest releaseKvRequest(UpstreamCallPlan.Work.Decode kv) {
+    return deleteRequest("/kv/" + kv.reference());
   }
 
-  private static HttpRequest request(String path) {
+  private static HttpRequest deleteRequest(String path) {
     var head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.DELETE, path);
     head.headers().set("Host", "engine");
     return head;
