--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -81,7 +81,7 @@
     ActiveRequest request = new ActiveRequest(exchange);
     activeRequests.put(exchange.caller(), request);
     retryBudget(exchange.service().name()).earn(settings.retryBudgetRatio() / 2);
-    request.start();
+    request.sendFirstAttempt();
   }
 
   /**
@@ -128,7 +128,7 @@
       this.exchange = exchange;
     }
 
-    void start() {
+    void sendFirstAttempt() {
       Duration remaining = Duration.ofNanos(exchange.deadlineNanos() - timers.nanos());
       deadlineTimer = timers.schedule(remaining, this::onDeadline);
       sendToNextUpstream("first");
@@ -157,8 +157,8 @@
       }
       attemptedUpstreams.add(c.id());
       attemptCount++;
-      long remaining = Math.max(1, (exchange.deadlineNanos() - now) / 1_000_000);
-      var plan = new UpstreamCallPlan(target, remaining, UpstreamCallPlan.WHOLE, null, null);
+      long remainingMillis = Math.max(1, (exchange.deadlineNanos() - now) / 1_000_000);
+      var plan = new UpstreamCallPlan(target, remainingMillis, UpstreamCallPlan.WHOLE, null, null);
       double predicted = balancer.predictedNanos(c, now);
       EventLog.log(
           LogEvent.REQUEST_SENT,
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -86,7 +86,7 @@
     Duration longest = engine == null ? Duration.ZERO : engine.longestReservation();
     Duration timeToLive =
         longest.compareTo(MAX_RESERVATION_TTL) < 0 ? longest : MAX_RESERVATION_TTL;
-    send(
+    sendCall(
         c.attempt(),
         target,
         protocol.reservationRequest(target, c.tokens(), timeToLive),
@@ -125,7 +125,7 @@
     } else {
       var plan = s.callPlan(target, UpstreamCallPlan.PREFILL, null);
       s.logStageSent(target, "prefill", c.attempt());
-      send(
+      sendCall(
           c.attempt(),
           target,
           s.exchange.toUpstreamRequest(plan),
@@ -153,10 +153,10 @@
             ? reservation.reservationId
             : null;
     CallRequest request = s.exchange.toUpstreamRequest(s.callPlan(target, work, reservationId));
-    send(c.attempt(), target, request, new DecodeResponseListener(c.attempt(), s));
+    sendCall(c.attempt(), target, request, new DecodeResponseListener(c.attempt(), s));
   }
 
-  private void send(
+  private void sendCall(
       AttemptId attempt, Instance target, CallRequest request, CallListener listener) {
     Call call = fleet.poolFor(target).send(request, listener);
     calls.put(attempt, call);
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -86,7 +86,7 @@
     this.eventExecutor = eventExecutor;
     this.router = new NodeRouter(settings.host(), settings.region(), incarnation, random);
     this.engineCalls = new EngineCalls(fleet, timers, protocol, metrics, this::postEvent);
-    this.runner = new PolicyRunner(timers, router, this::execute);
+    this.runner = new PolicyRunner(timers, router, this::executeCommand);
   }
 
   /** Starts to join the fleet of peers. */
@@ -191,7 +191,7 @@
     eventExecutor.execute(() -> runner.handle(event));
   }
 
-  private void execute(RoutingCommand command) {
+  private void executeCommand(RoutingCommand command) {
     switch (command) {
       case RoutingCommand.ReserveEngine c ->
           withStream(c.attempt(), s -> engineCalls.reserve(s, c));
