--- a/core/src/main/java/org/mustardlatch/core/ledger/Attempt.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/Attempt.java
@@ -1,24 +1,26 @@
 package org.mustardlatch.core.ledger;
 
 /**
- * One attempt to run a keyed request.
+ * One attempt to run a request that has an idempotency key.
  *
- * @param key location of its record
- * @param request digest of method, path and body, 1 to 64 printable ASCII characters
- * @param nonce 128 random bits that name the attempt, 32 lower-case hexadecimal digits; held in
- *     memory only, so that a restarted node never takes up the attempt
- * @param host node that starts it
+ * @param key ledger key of the record
+ * @param requestDigest digest of method, path and body, 1 to 64 printable ASCII characters
+ * @param nonce 128 random bits that identify the attempt, 32 lower-case hexadecimal digits; the
+ *     starting node keeps the nonce in memory only, so that it cannot resume the attempt after a
+ *     restart
+ * @param host node that starts the attempt
  * @param incarnation incarnation of that node
  */
-public record Attempt(LedgerKey key, String request, String nonce, String host, long incarnation) {
-  /** Checks digest and nonce; throws {@link IllegalArgumentException} when one is malformed. */
+public record Attempt(
+    LedgerKey key, String requestDigest, String nonce, String host, long incarnation) {
+  /** Validates digest and nonce; throws {@link IllegalArgumentException} if one is malformed. */
   public Attempt {
-    if (!request.matches("[\\x21-\\x7e&&[^\"\\\\]]{1,64}")) {
+    if (!requestDigest.matches("[\\x21-\\x7e&&[^\"\\\\]]{1,64}")) {
       throw new IllegalArgumentException(
-          "a request digest has 1 to 64 printable characters, got \"" + request + "\"");
+          "a request digest must have 1 to 64 printable characters, got \"" + requestDigest + "\"");
     }
     if (!nonce.matches("[0-9a-f]{32}")) {
-      throw new IllegalArgumentException("a nonce has 32 hexadecimal digits, got " + nonce);
+      throw new IllegalArgumentException("a nonce must have 32 hexadecimal digits, got " + nonce);
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyAge.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyAge.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 import java.util.regex.Pattern;
 
-/** Age of idempotency keys that carry their creation time. */
+/** Determines the age of idempotency keys that contain their creation time. */
 public final class KeyAge {
   private static final Pattern UUID_V7 =
       Pattern.compile(
@@ -13,7 +13,7 @@
   private KeyAge() {}
 
   /**
-   * Returns the creation time of a UUID of version 7 in seconds since 1970, empty for other keys.
+   * Returns the creation time of a version 7 UUID in seconds since 1970, or empty for other keys.
    */
   public static OptionalLong createdSeconds(String key) {
     if (!UUID_V7.matcher(key).matches()) {
@@ -24,12 +24,12 @@
   }
 
   /**
-   * Returns whether the record of this key may have been removed already, so that the key must be
-   * refused.
+   * Returns whether the key is older than the retention. Its record may have been removed already,
+   * so a request with this key must be rejected.
    *
    * @param nowSeconds wall-clock time in seconds since 1970
    */
-  public static boolean expired(String key, Duration retention, long nowSeconds) {
+  public static boolean isExpired(String key, Duration retention, long nowSeconds) {
     OptionalLong created = createdSeconds(key);
     return created.isPresent() && nowSeconds - created.getAsLong() > retention.toSeconds();
   }
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
@@ -5,30 +5,31 @@
 import org.mustardlatch.core.error.ErrorCode;
 
 /**
- * The entry side of one keyed request: start record, one dispatch, finish record, answer.
+ * State machine of one keyed request on its entry node: start record, at most one dispatch, finish
+ * record, response.
  *
- * <p>"Not run" is answered only when no record of the attempt can exist or the attempt cancelled
- * its own record, and only when it was not dispatched. Every other end without an answer is
- * "outcome unknown".
+ * <p>The caller gets "not run" only if no record of the attempt can exist or the attempt cancelled
+ * its own record, and only if the attempt was not dispatched. Every other end without a response of
+ * the application is "outcome unknown".
  */
 public final class KeyedRequest {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final Attempt attempt;
   private final long deadlineNanos;
-  private final KeyedPolicy policy;
+  private final KeyedRequestTimeouts timeouts;
 
   private Step step = Step.NEW;
   private boolean forwarded;
   private boolean ownerRefused;
-  private boolean startedDirectly;
-  private boolean directRefused;
-  private boolean finishedDirectly;
+  private boolean startedLocally;
+  private boolean localWriterRefused;
+  private boolean finishedLocally;
   private boolean dispatched;
-  private boolean replied;
-  private KeyedReply.NotRun cancelReply =
-      new KeyedReply.NotRun(ErrorCode.STORE_UNAVAILABLE, RETRY_AFTER);
-  private ShardEvent.FinishRequested finish;
+  private boolean responded;
+  private KeyedResponse.NotRun responseAfterCancel =
+      new KeyedResponse.NotRun(ErrorCode.STORE_UNAVAILABLE, RETRY_AFTER);
+  private ShardEvent.FinishRequested pendingFinish;
 
   private enum Step {
     NEW,
@@ -40,216 +41,227 @@
   }
 
   /**
-   * Creates the request.
+   * Creates the state machine of one attempt.
    *
-   * @param deadlineNanos final deadline, monotonic time
+   * @param deadlineNanos final deadline of the request, monotonic time
    */
-  public KeyedRequest(Attempt attempt, long deadlineNanos, KeyedPolicy policy) {
+  public KeyedRequest(Attempt attempt, long deadlineNanos, KeyedRequestTimeouts timeouts) {
     this.attempt = attempt;
     this.deadlineNanos = deadlineNanos;
-    this.policy = policy;
-    finish =
+    this.timeouts = timeouts;
+    pendingFinish =
         new ShardEvent.FinishRequested(
             attempt.key(), attempt.nonce(), RecordState.UNKNOWN, 0, null);
   }
 
   /**
-   * Returns whether the caller was answered and the record needs nothing more from this request. An
-   * answer to a start that comes later is a case for {@link LedgerNode}.
+   * Returns whether the response to the caller was sent and the record needs no further change by
+   * this request. {@link LedgerNode} handles a response to the start that arrives later.
    */
-  public boolean done() {
-    return step == Step.DONE && replied;
+  public boolean isDone() {
+    return step == Step.DONE && responded;
   }
 
   /** Handles one event; {@code nowNanos} is monotonic time. */
-  public void handle(KeyedEvent event, long nowNanos, Consumer<KeyedCommand> out) {
+  public void handle(KeyedRequestEvent event, long nowNanos, Consumer<KeyedRequestCommand> out) {
     switch (event) {
-      case KeyedEvent.Begin e -> begin(e.forward(), nowNanos, out);
-      case KeyedEvent.StartAnswered e -> startAnswered(e.path(), e.result(), nowNanos, out);
-      case KeyedEvent.CallerGone e -> callerGone(nowNanos, out);
-      case KeyedEvent.RunEnded e -> runEnded(e.outcome(), nowNanos, out);
-      case KeyedEvent.FinishAnswered e -> finishAnswered(out);
-      case KeyedEvent.Cancelled e -> cancelled(out);
-      case KeyedEvent.TimerFired e -> timerFired(e.timer(), nowNanos, out);
+      case KeyedRequestEvent.Accepted e -> accepted(e.ownedByOtherNode(), nowNanos, out);
+      case KeyedRequestEvent.StartResponseReceived e ->
+          startResponseReceived(e.writer(), e.result(), nowNanos, out);
+      case KeyedRequestEvent.CallerDisconnected e -> callerDisconnected(nowNanos, out);
+      case KeyedRequestEvent.DispatchEnded e -> dispatchEnded(e.outcome(), nowNanos, out);
+      case KeyedRequestEvent.FinishResponseReceived e -> finishResponseReceived(out);
+      case KeyedRequestEvent.CancelResponseReceived e -> cancelResponseReceived(out);
+      case KeyedRequestEvent.TimerFired e -> timerFired(e.timer(), nowNanos, out);
     }
   }
 
-  private void begin(boolean forward, long nowNanos, Consumer<KeyedCommand> out) {
+  private void accepted(
+      boolean ownedByOtherNode, long nowNanos, Consumer<KeyedRequestCommand> out) {
     if (step != Step.NEW) {
-      throw new IllegalStateException("a keyed request begins once");
+      throw new IllegalStateException("a keyed request can be accepted only once");
     }
     step = Step.STARTING;
-    out.accept(new KeyedCommand.SetTimer(KeyedTimer.DEADLINE, deadlineNanos));
-    if (forward) {
+    out.accept(new KeyedRequestCommand.SetTimer(KeyedRequestTimer.DEADLINE, deadlineNanos));
+    if (ownedByOtherNode) {
       forwarded = true;
-      out.accept(new KeyedCommand.ForwardStart(attempt));
-      long wait = nowNanos + policy.forwardWait().toNanos();
-      out.accept(new KeyedCommand.SetTimer(KeyedTimer.FORWARD, wait));
+      out.accept(new KeyedRequestCommand.ForwardStart(attempt));
+      long timeoutAtNanos = nowNanos + timeouts.forwardTimeout().toNanos();
+      out.accept(
+          new KeyedRequestCommand.SetTimer(KeyedRequestTimer.FORWARD_TIMEOUT, timeoutAtNanos));
     } else {
-      startDirectly(out);
+      startLocally(out);
     }
   }
 
-  private void startDirectly(Consumer<KeyedCommand> out) {
-    startedDirectly = true;
-    out.accept(new KeyedCommand.StartDirectly(attempt));
+  private void startLocally(Consumer<KeyedRequestCommand> out) {
+    startedLocally = true;
+    out.accept(new KeyedRequestCommand.StartLocally(attempt));
   }
 
-  private void startAnswered(
-      StartPath path, StartResult result, long nowNanos, Consumer<KeyedCommand> out) {
+  private void startResponseReceived(
+      RecordWriter writer, StartResult result, long nowNanos, Consumer<KeyedRequestCommand> out) {
     switch (result) {
       case StartResult.Started s -> started(nowNanos, out);
       case StartResult.Existing e -> {
         if (step == Step.STARTING) {
           step = Step.DONE;
-          reply(replyFor(e), out);
+          respond(responseForExisting(e), out);
         }
       }
-      case StartResult.NotStarted n -> notStarted(path, n, nowNanos, out);
+      case StartResult.NotStarted n -> notStarted(writer, n, nowNanos, out);
     }
   }
 
-  private void started(long nowNanos, Consumer<KeyedCommand> out) {
+  private void started(long nowNanos, Consumer<KeyedRequestCommand> out) {
     if (step == Step.STARTING && nowNanos < deadlineNanos) {
       step = Step.RUNNING;
       dispatched = true;
-      out.accept(new KeyedCommand.Dispatch());
+      out.accept(new KeyedRequestCommand.Dispatch());
     } else if (step == Step.STARTING) {
       cancel(nowNanos, out);
     }
   }
 
-  private static KeyedReply replyFor(StartResult.Existing e) {
+  private static KeyedResponse responseForExisting(StartResult.Existing e) {
     if (!e.sameRequest()) {
-      return new KeyedReply.KeyReused();
+      return new KeyedResponse.KeyReused();
     }
     return switch (e.state()) {
-      case FINISHED -> new KeyedReply.Recorded(e.status(), e.answer());
-      case STARTED -> new KeyedReply.InProgress(RETRY_AFTER);
-      case UNKNOWN, CANCELLED -> new KeyedReply.OutcomeUnknown();
+      case FINISHED -> new KeyedResponse.Recorded(e.status(), e.response());
+      case STARTED -> new KeyedResponse.InProgress(RETRY_AFTER);
+      case UNKNOWN, CANCELLED -> new KeyedResponse.OutcomeUnknown();
     };
   }
 
   /**
-   * Both ways that were tried must have refused, else the other one may still create the record.
+   * Handles the refusal of a start. The request ends as "not run" only after every writer that was
+   * asked refused, because any other one may still create the record.
    */
   private void notStarted(
-      StartPath path, StartResult.NotStarted result, long nowNanos, Consumer<KeyedCommand> out) {
-    ownerRefused |= path == StartPath.OWNER;
-    directRefused |= path == StartPath.DIRECT;
-    boolean ownerClear = !forwarded || ownerRefused;
-    boolean directClear = !startedDirectly || directRefused;
-    if (ownerClear && directClear && !dispatched) {
+      RecordWriter writer,
+      StartResult.NotStarted result,
+      long nowNanos,
+      Consumer<KeyedRequestCommand> out) {
+    ownerRefused |= writer == RecordWriter.OWNER;
+    localWriterRefused |= writer == RecordWriter.LOCAL;
+    boolean ownerCannotStart = !forwarded || ownerRefused;
+    boolean localWriterCannotStart = !startedLocally || localWriterRefused;
+    if (ownerCannotStart && localWriterCannotStart && !dispatched) {
       step = step == Step.STARTING ? Step.DONE : step;
-      reply(new KeyedReply.NotRun(result.code(), result.retryAfter()), out);
-    } else if (step == Step.STARTING && directRefused) {
+      respond(new KeyedResponse.NotRun(result.code(), result.retryAfter()), out);
+    } else if (step == Step.STARTING && localWriterRefused) {
       cancel(nowNanos, out);
     }
   }
 
-  private void callerGone(long nowNanos, Consumer<KeyedCommand> out) {
+  private void callerDisconnected(long nowNanos, Consumer<KeyedRequestCommand> out) {
     if (step == Step.STARTING) {
       cancel(nowNanos, out);
     }
   }
 
-  private void cancel(long nowNanos, Consumer<KeyedCommand> out) {
+  private void cancel(long nowNanos, Consumer<KeyedRequestCommand> out) {
     step = Step.CANCELLING;
-    out.accept(new KeyedCommand.CancelDirectly(attempt, forwarded));
-    long wait = nowNanos + policy.cancelWait().toNanos();
-    out.accept(new KeyedCommand.SetTimer(KeyedTimer.CANCEL, wait));
+    out.accept(new KeyedRequestCommand.CancelLocally(attempt, forwarded));
+    long timeoutAtNanos = nowNanos + timeouts.cancelTimeout().toNanos();
+    out.accept(new KeyedRequestCommand.SetTimer(KeyedRequestTimer.CANCEL_TIMEOUT, timeoutAtNanos));
   }
 
-  private void cancelled(Consumer<KeyedCommand> out) {
+  private void cancelResponseReceived(Consumer<KeyedRequestCommand> out) {
     if (step == Step.CANCELLING) {
       step = Step.DONE;
-      reply(cancelReply, out);
+      respond(responseAfterCancel, out);
     }
   }
 
-  private void runEnded(RunOutcome outcome, long nowNanos, Consumer<KeyedCommand> out) {
+  private void dispatchEnded(
+      DispatchOutcome outcome, long nowNanos, Consumer<KeyedRequestCommand> out) {
     if (step != Step.RUNNING) {
-      throw new IllegalStateException("no dispatch is in progress, but it ended: " + outcome);
+      throw new IllegalStateException("a dispatch ended, but none is in progress: " + outcome);
     }
     switch (outcome) {
-      case RunOutcome.Answered a -> {
-        finish = finishAs(RecordState.FINISHED, a);
+      case DispatchOutcome.Completed a -> {
+        pendingFinish = finishRequest(RecordState.FINISHED, a);
         finish(nowNanos, out);
       }
-      case RunOutcome.NotSent n -> {
-        cancelReply = new KeyedReply.NotRun(ErrorCode.UPSTREAM_UNAVAILABLE, RETRY_AFTER);
+      case DispatchOutcome.NotSent n -> {
+        responseAfterCancel = new KeyedResponse.NotRun(ErrorCode.UPSTREAM_UNAVAILABLE, RETRY_AFTER);
         cancel(nowNanos, out);
       }
-      case RunOutcome.Unknown u -> {
+      case DispatchOutcome.Unknown u -> {
         finish(nowNanos, out);
-        reply(new KeyedReply.OutcomeUnknown(), out);
+        respond(new KeyedResponse.OutcomeUnknown(), out);
       }
     }
   }
 
-  private ShardEvent.FinishRequested finishAs(RecordState state, RunOutcome.Answered a) {
+  private ShardEvent.FinishRequested finishRequest(RecordState state, DispatchOutcome.Completed a) {
     return new ShardEvent.FinishRequested(
-        attempt.key(), attempt.nonce(), state, a.status(), a.answer());
+        attempt.key(), attempt.nonce(), state, a.status(), a.response());
   }
 
-  private void finish(long nowNanos, Consumer<KeyedCommand> out) {
+  private void finish(long nowNanos, Consumer<KeyedRequestCommand> out) {
     step = Step.FINISHING;
-    if (forwarded && !startedDirectly) {
-      out.accept(new KeyedCommand.ForwardFinish(finish));
-      long direct = nowNanos + policy.forwardWait().toNanos();
-      out.accept(new KeyedCommand.SetTimer(KeyedTimer.FORWARD, direct));
+    if (forwarded && !startedLocally) {
+      out.accept(new KeyedRequestCommand.ForwardFinish(pendingFinish));
+      long forwardTimeoutAtNanos = nowNanos + timeouts.forwardTimeout().toNanos();
+      out.accept(
+          new KeyedRequestCommand.SetTimer(
+              KeyedRequestTimer.FORWARD_TIMEOUT, forwardTimeoutAtNanos));
     } else {
-      finishDirectly(out);
+      finishLocally(out);
     }
-    long wait = nowNanos + policy.finishWait().toNanos();
-    out.accept(new KeyedCommand.SetTimer(KeyedTimer.FINISH, wait));
+    long timeoutAtNanos = nowNanos + timeouts.finishTimeout().toNanos();
+    out.accept(new KeyedRequestCommand.SetTimer(KeyedRequestTimer.FINISH_TIMEOUT, timeoutAtNanos));
   }
 
-  private void finishAnswered(Consumer<KeyedCommand> out) {
+  private void finishResponseReceived(Consumer<KeyedRequestCommand> out) {
     if (step == Step.FINISHING) {
       step = Step.DONE;
-      reply(new KeyedReply.Ran(), out);
+      respond(new KeyedResponse.Ran(), out);
     }
   }
 
-  private void timerFired(KeyedTimer timer, long nowNanos, Consumer<KeyedCommand> out) {
+  private void timerFired(
+      KeyedRequestTimer timer, long nowNanos, Consumer<KeyedRequestCommand> out) {
     switch (timer) {
-      case FORWARD -> {
-        if (step == Step.STARTING && !startedDirectly) {
-          startDirectly(out);
-        } else if (step == Step.FINISHING && !finishedDirectly) {
-          finishDirectly(out);
+      case FORWARD_TIMEOUT -> {
+        if (step == Step.STARTING && !startedLocally) {
+          startLocally(out);
+        } else if (step == Step.FINISHING && !finishedLocally) {
+          finishLocally(out);
         }
       }
       case DEADLINE -> {
         if (step == Step.STARTING) {
           cancel(nowNanos, out);
         } else if (step == Step.RUNNING) {
-          reply(new KeyedReply.OutcomeUnknown(), out);
+          respond(new KeyedResponse.OutcomeUnknown(), out);
         }
       }
-      case CANCEL -> {
+      case CANCEL_TIMEOUT -> {
         if (step == Step.CANCELLING) {
-          reply(new KeyedReply.OutcomeUnknown(), out);
+          respond(new KeyedResponse.OutcomeUnknown(), out);
         }
       }
-      case FINISH -> {
+      case FINISH_TIMEOUT -> {
         if (step == Step.FINISHING) {
-          reply(new KeyedReply.Ran(), out);
+          respond(new KeyedResponse.Ran(), out);
         }
       }
     }
   }
 
-  private void finishDirectly(Consumer<KeyedCommand> out) {
-    finishedDirectly = true;
-    out.accept(new KeyedCommand.FinishDirectly(finish));
+  private void finishLocally(Consumer<KeyedRequestCommand> out) {
+    finishedLocally = true;
+    out.accept(new KeyedRequestCommand.FinishLocally(pendingFinish));
   }
 
-  private void reply(KeyedReply reply, Consumer<KeyedCommand> out) {
-    if (!replied) {
-      replied = true;
-      out.accept(new KeyedCommand.Reply(reply));
+  private void respond(KeyedResponse response, Consumer<KeyedRequestCommand> out) {
+    if (!responded) {
+      responded = true;
+      out.accept(new KeyedRequestCommand.Respond(response));
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerCodec.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerCodec.java
@@ -9,40 +9,42 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** The JSON form of a shard; docs/design.md 4.4 documents it. */
+/** Encodes and decodes the JSON form of a shard, which docs/design.md 4.4 documents. */
 final class LedgerCodec {
-  private static final int FORMAT = 1;
+  private static final int FORMAT_VERSION = 1;
 
   private LedgerCodec() {}
 
   static ObjectNode encode(LedgerShard shard) {
-    ObjectNode node = JsonNodeFactory.instance.objectNode().put("format", FORMAT);
+    ObjectNode node = JsonNodeFactory.instance.objectNode().put("format", FORMAT_VERSION);
     ArrayNode recent = node.putArray("recent");
-    for (LedgerRecord r : shard.recent().values()) {
+    for (LedgerRecord r : shard.fullRecords().values()) {
       ObjectNode o = recent.addObject();
-      o.put("key", r.key().digest()).put("request", r.request()).put("state", r.state().name());
+      o.put("key", r.key().digest())
+          .put("request", r.requestDigest())
+          .put("state", r.state().name());
       o.put("nonce", r.nonce()).put("host", r.host()).put("incarnation", r.incarnation());
       o.put("started", r.startedSeconds()).put("changed", r.changedSeconds());
       o.put("status", r.status());
-      if (r.answer() != null) {
-        o.put("answer", r.answer());
+      if (r.response() != null) {
+        o.put("answer", r.response());
       }
     }
     ArrayNode older = node.putArray("older");
-    shard.older().values().forEach(r -> older.add(r.encode()));
+    shard.compactRecords().values().forEach(r -> older.add(r.encode()));
     return node;
   }
 
   /**
-   * Reads a shard.
+   * Decodes a shard.
    *
-   * @throws IllegalArgumentException when the content is of another format; nothing may be written
-   *     over it then
+   * @throws IllegalArgumentException if the content has another format version; such content must
+   *     not be overwritten
    */
   static LedgerShard decode(JsonNode node) {
-    if (node.path("format").asInt() != FORMAT) {
+    if (node.path("format").asInt() != FORMAT_VERSION) {
       throw new IllegalArgumentException(
-          "ledger shard format must be " + FORMAT + ", got " + node.path("format"));
+          "ledger shard format must be " + FORMAT_VERSION + ", got " + node.path("format"));
     }
     Map<LedgerKey, LedgerRecord> recent = new LinkedHashMap<>();
     for (JsonNode o : node.path("recent")) {
@@ -57,7 +59,7 @@
     return new LedgerShard(recent, older);
   }
 
-  static int quotedBytes(String text) {
+  static int escapedLength(String text) {
     return JsonStringEncoder.getInstance().quoteAsUTF8(text).length;
   }
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerLimits.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerLimits.java
@@ -5,30 +5,35 @@
 /**
  * Limits of shard writers.
  *
- * @param retention how long outcomes are remembered
- * @param writesPerSecond writes per second of the whole fleet over all shards, greater than zero
- * @param maxShardBytes size of a shard object from which new records are refused; finish records
- *     may use what is left up to the limit of the object service
- * @param maxPending requests that one shard writer holds at a time
+ * @param retention how long the outcome of a finished request is kept
+ * @param writesPerSecond write rate of the whole fleet to all shards together, greater than zero
+ * @param maxShardBytes size of a shard object in bytes above which new records are refused; the
+ *     rest up to the size limit of the object service is reserved for finish records
+ * @param maxPendingChanges number of changes that may be pending in one shard writer
  */
 public record LedgerLimits(
-    Duration retention, double writesPerSecond, int maxShardBytes, int maxPending) {
-  /** How long full records with their answers are kept. */
-  public static final Duration KEEP_FULL = Duration.ofMinutes(15);
+    Duration retention, double writesPerSecond, int maxShardBytes, int maxPendingChanges) {
+  /** How long full records are kept with their responses after their last change. */
+  public static final Duration FULL_RECORD_RETENTION = Duration.ofMinutes(15);
 
-  /** Added to the retention, because the wall clocks of hosts differ. */
-  static final Duration RETENTION_MARGIN = Duration.ofMinutes(15);
+  /** Added to the retention because the wall clocks of hosts differ. */
+  static final Duration CLOCK_SKEW_MARGIN = Duration.ofMinutes(15);
 
-  /** After this time a record that is still STARTED is reported as outcome unknown. */
-  static final Duration STARTED_IN_PROGRESS = Duration.ofMinutes(10);
+  /** Time after which a record that is still STARTED is reported as outcome unknown. */
+  static final Duration MAX_IN_PROGRESS_TIME = Duration.ofMinutes(10);
 
-  /** Writes that a shard may make at once after a quiet time: two confirmations. */
-  static final int WRITE_BURST = 4;
+  /**
+   * Writes to a shard without delay after an idle period, enough for two requests that each store a
+   * start and a finish record.
+   */
+  static final int MAX_WRITE_BURST = 4;
 
-  /** Longest answer that a record holds, UTF-16 units: 1 KB of body and its frame. */
-  public static final int MAX_ANSWER_CHARS = 1_400;
+  /**
+   * Maximum length of a recorded response in UTF-16 units: 1 KB of body and its encoding overhead.
+   */
+  public static final int MAX_RESPONSE_CHARS = 1_400;
 
-  /** Checks the ranges. */
+  /** Validates retention and write rate. */
   public LedgerLimits {
     if (retention.isNegative() || retention.isZero()) {
       throw new IllegalArgumentException("retention must be greater than zero, got " + retention);
@@ -39,12 +44,12 @@
     }
   }
 
-  /** Returns the size up to which finish records are stored with their answer, bytes. */
-  int maxBytesWithAnswers() {
+  /** Returns the shard size in bytes up to which finish records are stored with their response. */
+  int maxBytesWithResponses() {
     return maxShardBytes + maxShardBytes / 20;
   }
 
-  /** Returns the limits for objects of 1 MB, with 10% kept free for finish records. */
+  /** Returns the limits for shard objects of 1 MB, of which 10% is reserved for finish records. */
   public static LedgerLimits of(Duration retention, double writesPerSecond) {
     return new LedgerLimits(retention, writesPerSecond, 900_000, 1_000);
   }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
@@ -15,184 +15,203 @@
 import org.mustardlatch.core.routing.Member;
 
 /**
- * The ledger of one node: its keyed requests, its shard writers, and what it writes for other
- * nodes. Not safe for use by several threads.
+ * The ledger of one node: its keyed requests and its shard writers, which also write for other
+ * nodes. Not thread-safe; the owner calls it on one thread.
  */
 public final class LedgerNode {
   private final HostId self;
   private final String noncePrefix;
   private final Supplier<LedgerLimits> limits;
-  private final KeyedPolicy policy;
+  private final KeyedRequestTimeouts timeouts;
   private final LedgerOutput out;
   private final Map<String, KeyedRequest> requests = new HashMap<>();
   private final Map<Integer, ShardWriter> writers = new HashMap<>();
-  private final Map<String, HostId> finishesForOthers = new HashMap<>();
-  private final Queue<Runnable> work = new ArrayDeque<>();
-  private List<Member> live = List.of();
+  private final Map<String, HostId> finishRequesters = new HashMap<>();
+  private final Queue<Runnable> queue = new ArrayDeque<>();
+  private List<Member> liveMembers = List.of();
   private Optional<RegionId> storeRegion = Optional.empty();
-  private Now now = new Now(0, 0);
-  private boolean working;
+  private ClockReading now = new ClockReading(0, 0);
+  private boolean processing;
 
   /**
    * Creates the ledger of a node.
    *
-   * @param noncePrefix starts the nonces of this process and of no other, 16 lower-case hexadecimal
-   *     digits
-   * @param limits limits from the manifest in force; read whenever a shard is opened
+   * @param noncePrefix prefix of all nonces of this process and of no other process, 16 lower-case
+   *     hexadecimal digits
+   * @param limits supplies the limits of the active manifest; read whenever a shard writer is
+   *     created
    */
   public LedgerNode(
       HostId self,
       String noncePrefix,
       Supplier<LedgerLimits> limits,
-      KeyedPolicy policy,
+      KeyedRequestTimeouts timeouts,
       LedgerOutput out) {
     if (!noncePrefix.matches("[0-9a-f]{16}")) {
       throw new IllegalArgumentException(
-          "a nonce prefix has 16 hexadecimal digits, got " + noncePrefix);
+          "a nonce prefix must have 16 hexadecimal digits, got " + noncePrefix);
     }
     this.self = self;
     this.noncePrefix = noncePrefix;
     this.limits = limits;
-    this.policy = policy;
+    this.timeouts = timeouts;
     this.out = out;
   }
 
-  /** Replaces the live nodes; with none, or itself as owner, the node writes directly. */
+  /**
+   * Replaces the live nodes from which shard owners are chosen. Without live nodes, or if this node
+   * is the owner of a shard, this node writes the records itself.
+   *
+   * @param regionOfStore region of the object service; empty if not configured
+   */
   public void setMembers(List<Member> members, Optional<RegionId> regionOfStore) {
-    live = List.copyOf(members);
+    liveMembers = List.copyOf(members);
     storeRegion = regionOfStore;
   }
 
   /**
-   * Begins a request.
+   * Begins a keyed request.
    *
-   * @param attempt a new attempt of this node, its nonce with the prefix of this process
-   * @param deadlineNanos final deadline, monotonic time
+   * @param attempt a new attempt of this node; its nonce starts with the nonce prefix of this
+   *     process
+   * @param deadlineNanos final deadline of the request, monotonic time
    */
-  public void begin(Attempt attempt, long deadlineNanos, Now time) {
+  public void begin(Attempt attempt, long deadlineNanos, ClockReading clock) {
     if (!attempt.nonce().startsWith(noncePrefix)) {
-      throw new IllegalArgumentException("nonce " + attempt.nonce() + " is not of this process");
+      throw new IllegalArgumentException(
+          "nonce " + attempt.nonce() + " does not have the prefix of this process");
     }
-    KeyedRequest request = new KeyedRequest(attempt, deadlineNanos, policy);
+    KeyedRequest request = new KeyedRequest(attempt, deadlineNanos, timeouts);
     requests.put(attempt.nonce(), request);
-    boolean forward = ownerOf(attempt.key()).isPresent();
-    turn(time, () -> keyed(attempt.nonce(), new KeyedEvent.Begin(forward)));
+    boolean forward = remoteOwnerOf(attempt.key()).isPresent();
+    process(
+        clock, () -> handleRequestEvent(attempt.nonce(), new KeyedRequestEvent.Accepted(forward)));
   }
 
-  /** Handles an event of a request; does nothing when the request is over. */
-  public void handle(String nonce, KeyedEvent event, Now time) {
-    turn(time, () -> keyed(nonce, event));
+  /** Handles an event of a request; does nothing if the request is done. */
+  public void handle(String nonce, KeyedRequestEvent event, ClockReading clock) {
+    process(clock, () -> handleRequestEvent(nonce, event));
   }
 
   /** Handles an event of a shard. */
-  public void handle(int shard, ShardEvent event, Now time) {
-    turn(time, () -> shard(shard, event));
+  public void handle(int shard, ShardEvent event, ClockReading clock) {
+    process(clock, () -> handleShardEvent(shard, event));
   }
 
   /**
-   * Handles a message.
+   * Handles a ledger message of another node.
    *
    * @param from sender
    * @param incarnation incarnation of the sender
-   * @throws IllegalArgumentException when a value of the message is malformed
+   * @throws IllegalArgumentException if a value of the message is malformed
    */
-  public void receive(HostId from, long incarnation, LedgerMessage message, Now time) {
+  public void receive(HostId from, long incarnation, LedgerMessage message, ClockReading clock) {
     switch (message) {
       case LedgerMessage.LedgerStart m -> {
-        Attempt attempt = LedgerMessages.attempt(m, from, incarnation);
-        turn(time, () -> shard(attempt.key().shard(), new ShardEvent.StartRequested(attempt)));
+        Attempt attempt = LedgerMessageTranslator.toAttempt(m, from, incarnation);
+        process(
+            clock,
+            () -> handleShardEvent(attempt.key().shard(), new ShardEvent.StartRequested(attempt)));
       }
       case LedgerMessage.LedgerStarted m -> {
-        KeyedEvent event = LedgerMessages.event(m);
+        KeyedRequestEvent event = LedgerMessageTranslator.toEvent(m);
         LedgerKey key = new LedgerKey(m.key());
-        turn(time, () -> startedOrLate(key, m.askedNonce(), event));
+        process(clock, () -> handleStartResponse(key, m.askedNonce(), event));
       }
       case LedgerMessage.LedgerFinish m -> {
-        ShardEvent.FinishRequested finish = LedgerMessages.finishRequest(m);
-        finishesForOthers.put(finish.nonce(), from);
-        turn(time, () -> shard(finish.key().shard(), finish));
+        ShardEvent.FinishRequested finish = LedgerMessageTranslator.toFinishRequest(m);
+        finishRequesters.put(finish.nonce(), from);
+        process(clock, () -> handleShardEvent(finish.key().shard(), finish));
       }
     }
   }
 
-  /** Returns whether no request is open and every record is stored. */
-  public boolean idle() {
-    return requests.isEmpty() && writers.values().stream().allMatch(ShardWriter::idle);
+  /** Returns whether no request is open and no change is pending in any shard. */
+  public boolean isIdle() {
+    return requests.isEmpty() && writers.values().stream().allMatch(ShardWriter::isIdle);
   }
 
-  /** Drops the content of shards that have nothing pending; it is read again when needed. */
+  /**
+   * Discards the writers of shards without pending changes and so their cached content, which is
+   * read again when needed.
+   */
   public void dropIdleShards() {
-    writers.values().removeIf(ShardWriter::idle);
+    writers.values().removeIf(ShardWriter::isIdle);
   }
 
-  /** Runs a task and everything that follows from it, one event at a time. */
-  private void turn(Now time, Runnable task) {
-    now = time;
-    work.add(task);
-    if (working) {
+  /** Runs a task and all tasks that it enqueues, one after the other. */
+  private void process(ClockReading clock, Runnable task) {
+    now = clock;
+    queue.add(task);
+    if (processing) {
       return;
     }
-    working = true;
+    processing = true;
     try {
-      for (Runnable next = work.poll(); next != null; next = work.poll()) {
+      for (Runnable next = queue.poll(); next != null; next = queue.poll()) {
         next.run();
       }
     } finally {
-      working = false;
+      processing = false;
     }
   }
 
-  private void keyed(String nonce, KeyedEvent event) {
+  private void handleRequestEvent(String nonce, KeyedRequestEvent event) {
     KeyedRequest request = requests.get(nonce);
     if (request == null) {
       return;
     }
-    List<KeyedCommand> commands = new ArrayList<>();
-    request.handle(event, now.nanos(), commands::add);
+    List<KeyedRequestCommand> commands = new ArrayList<>();
+    request.handle(event, now.monotonicNanos(), commands::add);
     commands.forEach(command -> execute(nonce, command));
-    if (request.done()) {
+    if (request.isDone()) {
       requests.remove(nonce);
     }
   }
 
-  private void execute(String nonce, KeyedCommand command) {
+  private void execute(String nonce, KeyedRequestCommand command) {
     switch (command) {
-      case KeyedCommand.ForwardStart c ->
+      case KeyedRequestCommand.ForwardStart c ->
           forward(
               c.attempt().key(),
-              LedgerMessages.start(c.attempt()),
+              LedgerMessageTranslator.toStartMessage(c.attempt()),
               new ShardEvent.StartRequested(c.attempt()));
-      case KeyedCommand.ForwardFinish c ->
-          forward(c.request().key(), LedgerMessages.finish(c.request()), c.request());
-      case KeyedCommand.StartDirectly c ->
-          later(c.attempt().key(), new ShardEvent.StartRequested(c.attempt()));
-      case KeyedCommand.FinishDirectly c -> later(c.request().key(), c.request());
-      case KeyedCommand.CancelDirectly c ->
-          later(c.attempt().key(), new ShardEvent.CancelRequested(c.attempt(), c.leaveMark()));
-      case KeyedCommand.Dispatch c -> out.dispatch(nonce);
-      case KeyedCommand.Reply c -> out.reply(nonce, c.reply());
-      case KeyedCommand.SetTimer c -> out.setTimer(nonce, c.timer(), c.atNanos());
+      case KeyedRequestCommand.ForwardFinish c ->
+          forward(
+              c.request().key(), LedgerMessageTranslator.toFinishMessage(c.request()), c.request());
+      case KeyedRequestCommand.StartLocally c ->
+          enqueueShardEvent(c.attempt().key(), new ShardEvent.StartRequested(c.attempt()));
+      case KeyedRequestCommand.FinishLocally c -> enqueueShardEvent(c.request().key(), c.request());
+      case KeyedRequestCommand.CancelLocally c ->
+          enqueueShardEvent(
+              c.attempt().key(), new ShardEvent.CancelRequested(c.attempt(), c.createIfAbsent()));
+      case KeyedRequestCommand.Dispatch c -> out.dispatch(nonce);
+      case KeyedRequestCommand.Respond c -> out.respond(nonce, c.response());
+      case KeyedRequestCommand.SetTimer c -> out.setRequestTimer(nonce, c.timer(), c.atNanos());
     }
   }
 
-  /** Sends to the owner, which is this node when membership has changed since the start. */
-  private void forward(LedgerKey key, LedgerMessage message, ShardEvent own) {
-    Optional<HostId> owner = ownerOf(key);
+  /**
+   * Sends the message to the owner of the shard, or enqueues the event if this node became the
+   * owner by a membership change since the start.
+   */
+  private void forward(LedgerKey key, LedgerMessage message, ShardEvent localEvent) {
+    Optional<HostId> owner = remoteOwnerOf(key);
     if (owner.isPresent()) {
       out.send(owner.get(), message);
     } else {
-      later(key, own);
+      enqueueShardEvent(key, localEvent);
     }
   }
 
-  private void later(LedgerKey key, ShardEvent event) {
-    work.add(() -> shard(key.shard(), event));
+  private void enqueueShardEvent(LedgerKey key, ShardEvent event) {
+    queue.add(() -> handleShardEvent(key.shard(), event));
   }
 
-  private void shard(int shard, ShardEvent event) {
+  private void handleShardEvent(int shard, ShardEvent event) {
     ShardWriter writer = writers.computeIfAbsent(shard, s -> new ShardWriter(limits.get()));
     List<ShardCommand> commands = new ArrayList<>();
-    writer.handle(event, now.nanos(), now.wallSeconds(), commands::add);
+    writer.handle(event, now.monotonicNanos(), now.wallClockSeconds(), commands::add);
     commands.forEach(command -> execute(shard, command));
   }
 
@@ -200,51 +219,60 @@
     switch (command) {
       case ShardCommand.Read c -> out.read(shard);
       case ShardCommand.Write c -> out.write(shard, c.version(), c.content());
-      case ShardCommand.WakeAt c -> out.wake(shard, c.atNanos());
-      case ShardCommand.StartAnswer c -> startAnswer(c);
-      case ShardCommand.CancelAnswer c ->
-          work.add(() -> keyed(c.attempt().nonce(), new KeyedEvent.Cancelled()));
-      case ShardCommand.FinishAnswer c -> finishAnswer(c);
+      case ShardCommand.SetTimer c -> out.setShardTimer(shard, c.atNanos());
+      case ShardCommand.StartResponse c -> deliverStartResponse(c);
+      case ShardCommand.CancelResponse c ->
+          queue.add(
+              () ->
+                  handleRequestEvent(
+                      c.attempt().nonce(), new KeyedRequestEvent.CancelResponseReceived()));
+      case ShardCommand.FinishResponse c -> deliverFinishResponse(c);
     }
   }
 
-  private void startAnswer(ShardCommand.StartAnswer c) {
+  private void deliverStartResponse(ShardCommand.StartResponse c) {
     Attempt attempt = c.attempt();
-    KeyedEvent event = new KeyedEvent.StartAnswered(StartPath.DIRECT, c.result());
+    KeyedRequestEvent event =
+        new KeyedRequestEvent.StartResponseReceived(RecordWriter.LOCAL, c.result());
     if (attempt.nonce().startsWith(noncePrefix)) {
-      work.add(() -> startedOrLate(attempt.key(), attempt.nonce(), event));
+      queue.add(() -> handleStartResponse(attempt.key(), attempt.nonce(), event));
     } else if (!attempt.host().equals(self.value())) {
-      out.send(new HostId(attempt.host()), LedgerMessages.answer(attempt, c.result()));
+      out.send(
+          new HostId(attempt.host()), LedgerMessageTranslator.toStartResponse(attempt, c.result()));
     }
   }
 
   /**
-   * Handles an answer to a start. A request of this process that is over was either not dispatched,
-   * and then a record made late for it would block its key, or its end is stored, and then
-   * cancelling changes nothing.
+   * Handles a response to a start. If it reports a start record for a request of this process that
+   * is already done, the record is cancelled. Either the request was not dispatched, and the record
+   * would block its key, or its finish record is stored, and the cancellation has no effect.
    */
-  private void startedOrLate(LedgerKey key, String nonce, KeyedEvent event) {
+  private void handleStartResponse(LedgerKey key, String nonce, KeyedRequestEvent event) {
     boolean started =
-        event instanceof KeyedEvent.StartAnswered a && a.result() instanceof StartResult.Started;
+        event instanceof KeyedRequestEvent.StartResponseReceived a
+            && a.result() instanceof StartResult.Started;
     if (requests.containsKey(nonce)) {
-      keyed(nonce, event);
+      handleRequestEvent(nonce, event);
     } else if (started && nonce.startsWith(noncePrefix)) {
-      Attempt late = new Attempt(key, "-", nonce, self.value(), 0);
-      later(key, new ShardEvent.CancelRequested(late, false));
+      Attempt cancelled = new Attempt(key, "-", nonce, self.value(), 0);
+      enqueueShardEvent(key, new ShardEvent.CancelRequested(cancelled, false));
     }
   }
 
-  private void finishAnswer(ShardCommand.FinishAnswer c) {
-    @Nullable HostId asker = finishesForOthers.remove(c.nonce());
-    if (asker == null) {
-      work.add(() -> keyed(c.nonce(), new KeyedEvent.FinishAnswered(c.stored())));
+  private void deliverFinishResponse(ShardCommand.FinishResponse c) {
+    @Nullable HostId requester = finishRequesters.remove(c.nonce());
+    if (requester == null) {
+      queue.add(
+          () ->
+              handleRequestEvent(
+                  c.nonce(), new KeyedRequestEvent.FinishResponseReceived(c.stored())));
     } else if (c.stored()) {
-      out.send(asker, LedgerMessages.finished(c.key(), c.nonce()));
+      out.send(requester, LedgerMessageTranslator.toFinishResponse(c.key(), c.nonce()));
     }
   }
 
-  /** Returns the owner when it is another node. */
-  private Optional<HostId> ownerOf(LedgerKey key) {
-    return ShardOwners.owner(key.shard(), live, storeRegion).filter(h -> !h.equals(self));
+  /** Returns the owner of the shard if it is another node, else empty. */
+  private Optional<HostId> remoteOwnerOf(LedgerKey key) {
+    return ShardOwners.owner(key.shard(), liveMembers, storeRegion).filter(h -> !h.equals(self));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerOutput.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerOutput.java
@@ -5,28 +5,33 @@
 import org.mustardlatch.core.peer.LedgerMessage;
 
 /**
- * What a {@link LedgerNode} asks for. Implementations must not call the node back before its method
- * has returned.
+ * Operations that a {@link LedgerNode} requests. An implementation must not call the node before
+ * the current call of the node has returned.
  */
 public interface LedgerOutput {
-  /** Read the shard's object; answered by {@code ReadFinished} or {@code ReadFailed}. */
+  /** Reads the shard object; the result is {@code ReadFinished} or {@code ReadFailed}. */
   void read(int shard);
 
-  /** Update the shard's object on condition of its version; answered by a write event. */
+  /**
+   * Updates the shard object on condition that it has this version; the result is one of the {@code
+   * Write...} events.
+   */
   void write(int shard, String version, JsonNode content);
 
-  /** Send {@code Woken} to the shard at this monotonic time; replaces an earlier one. */
-  void wake(int shard, long atNanos);
+  /**
+   * Sends {@code TimerFired} to the shard at the given monotonic time; replaces its earlier timer.
+   */
+  void setShardTimer(int shard, long atNanos);
 
-  /** Send {@code TimerFired} to the request at this monotonic time. */
-  void setTimer(String nonce, KeyedTimer timer, long atNanos);
+  /** Sends {@code TimerFired} to the request at the given monotonic time. */
+  void setRequestTimer(String nonce, KeyedRequestTimer timer, long atNanos);
 
-  /** Dispatch the request; comes at most once per nonce. */
+  /** Dispatches the request; called at most once per nonce. */
   void dispatch(String nonce);
 
-  /** Answer the caller; comes exactly once per nonce. */
-  void reply(String nonce, KeyedReply reply);
+  /** Responds to the caller; called exactly once per nonce. */
+  void respond(String nonce, KeyedResponse response);
 
-  /** Send a message to another node; it may be lost. */
+  /** Sends a message to another node; it may be lost. */
   void send(HostId to, LedgerMessage message);
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerRecord.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerRecord.java
@@ -3,22 +3,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The full record of a key.
+ * Full record of an idempotency key.
  *
- * @param key where it belongs
- * @param request digest of method, path and body
+ * @param key ledger key of the record
+ * @param requestDigest digest of method, path and body
  * @param state state of the attempt
- * @param nonce names the attempt
- * @param host node that started it
+ * @param nonce nonce of the attempt
+ * @param host node that started the attempt
  * @param incarnation incarnation of that node
  * @param startedSeconds wall-clock time of the start, seconds since 1970
  * @param changedSeconds wall-clock time of the last change, seconds since 1970
- * @param status HTTP status of the answer; 0 when there is none
- * @param answer the answer as the caller of the ledger encoded it; null when there is none
+ * @param status HTTP status of the response; 0 if there is none
+ * @param response the response as the user of the ledger encoded it; null if there is none
  */
 record LedgerRecord(
     LedgerKey key,
-    String request,
+    String requestDigest,
     RecordState state,
     String nonce,
     String host,
@@ -26,12 +26,13 @@
     long startedSeconds,
     long changedSeconds,
     int status,
-    @Nullable String answer) {
+    @Nullable String response) {
 
-  LedgerRecord to(RecordState next, int nextStatus, @Nullable String nextAnswer, long seconds) {
+  LedgerRecord withState(
+      RecordState next, int nextStatus, @Nullable String nextResponse, long seconds) {
     return new LedgerRecord(
         key,
-        request,
+        requestDigest,
         next,
         nonce,
         host,
@@ -39,6 +40,6 @@
         startedSeconds,
         seconds,
         nextStatus,
-        nextAnswer);
+        nextResponse);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/PendingChange.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/PendingChange.java
@@ -2,48 +2,59 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A change of one record that a {@link ShardWriter} has not settled yet. */
+/**
+ * A requested change of one record that a {@link ShardWriter} has neither stored nor refused yet.
+ */
 final class PendingChange {
-  /** What is to become of the record. */
-  sealed interface Goal {
-    /** Create it as STARTED. */
-    record Start(Attempt attempt) implements Goal {}
+  /** The requested change. */
+  sealed interface Operation {
+    /** Creates the record as STARTED. */
+    record Start(Attempt attempt) implements Operation {}
 
-    /** Turn it from STARTED to CANCELLED. */
-    record Cancel(Attempt attempt, boolean leaveMark) implements Goal {}
+    /**
+     * Changes the record from STARTED to CANCELLED.
+     *
+     * @param createIfAbsent whether to create a CANCELLED record if the attempt has none
+     */
+    record Cancel(Attempt attempt, boolean createIfAbsent) implements Operation {}
 
-    /** Turn it from STARTED to its end. */
-    record Finish(ShardEvent.FinishRequested request) implements Goal {}
+    /** Changes the record from STARTED or UNKNOWN to the outcome of the attempt. */
+    record Finish(ShardEvent.FinishRequested request) implements Operation {}
   }
 
-  private final Goal goal;
-  private final long sinceNanos;
-  private boolean exposed;
+  private final Operation operation;
+  private final long requestedAtNanos;
+  private boolean inUnknownWrite;
   private @Nullable PendingChange next;
 
-  PendingChange(Goal goal, long sinceNanos) {
-    this.goal = goal;
-    this.sinceNanos = sinceNanos;
+  PendingChange(Operation operation, long requestedAtNanos) {
+    this.operation = operation;
+    this.requestedAtNanos = requestedAtNanos;
   }
 
-  Goal goal() {
-    return goal;
+  Operation operation() {
+    return operation;
   }
 
-  long sinceNanos() {
-    return sinceNanos;
+  long requestedAtNanos() {
+    return requestedAtNanos;
   }
 
-  /** Whether a write whose result is not known contains this change, so it may still be applied. */
-  boolean exposed() {
-    return exposed;
+  /**
+   * Returns whether a write with an unknown result contains this change, so that the change may
+   * still be applied.
+   */
+  boolean inUnknownWrite() {
+    return inUnknownWrite;
   }
 
-  void setExposed(boolean value) {
-    exposed = value;
+  void setInUnknownWrite(boolean value) {
+    inUnknownWrite = value;
   }
 
-  /** The change that follows this one once the write in progress has ended; null for none. */
+  /**
+   * Returns the change that replaces this one after the write in progress; null if there is none.
+   */
   @Nullable PendingChange next() {
     return next;
   }
@@ -53,6 +64,6 @@
   }
 
   boolean isStart() {
-    return goal instanceof Goal.Start;
+    return operation instanceof Operation.Start;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/RecordState.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/RecordState.java
@@ -1,14 +1,17 @@
 package org.mustardlatch.core.ledger;
 
-/** State of a record. */
+/** State of a ledger record. */
 public enum RecordState {
-  /** An attempt holds the key; it may run now or later. Only its starter may change the record. */
+  /**
+   * An attempt has the key and may run now or later. Only the node that started the attempt may
+   * change the record.
+   */
   STARTED('S'),
-  /** The attempt ran and its answer is known. */
+  /** The attempt ran and the application responded. */
   FINISHED('F'),
-  /** The attempt did not run and never will; another attempt may take the key. */
+  /** The attempt did not run and never will; another attempt may use the key. */
   CANCELLED('C'),
-  /** The attempt was sent, but whether it ran is not known. */
+  /** The attempt was sent, but whether it ran is unknown. */
   UNKNOWN('U');
 
   private final char letter;
@@ -27,6 +30,6 @@
         return s;
       }
     }
-    throw new IllegalArgumentException("unknown state letter '" + letter + "'");
+    throw new IllegalArgumentException("unknown record state letter '" + letter + "'");
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
@@ -6,64 +6,65 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Builds the next content of a shard. */
+/** Builds the next content of a shard from its cached content. */
 final class ShardEditor {
-  private final Map<LedgerKey, LedgerRecord> recent;
-  private final Map<LedgerKey, CompactRecord> older;
-  private int bytes;
+  private final Map<LedgerKey, LedgerRecord> fullRecords;
+  private final Map<LedgerKey, CompactRecord> compactRecords;
+  private int encodedBytes;
 
   ShardEditor(LedgerShard base) {
-    recent = new LinkedHashMap<>(base.recent());
-    older = new LinkedHashMap<>(base.older());
-    bytes = base.encodedBytes();
+    fullRecords = new LinkedHashMap<>(base.fullRecords());
+    compactRecords = new LinkedHashMap<>(base.compactRecords());
+    encodedBytes = base.maxEncodedBytes();
   }
 
-  @Nullable LedgerRecord recent(LedgerKey key) {
-    return recent.get(key);
+  @Nullable LedgerRecord fullRecord(LedgerKey key) {
+    return fullRecords.get(key);
   }
 
-  @Nullable CompactRecord older(LedgerKey key) {
-    return older.get(key);
+  @Nullable CompactRecord compactRecord(LedgerKey key) {
+    return compactRecords.get(key);
   }
 
-  /** Returns an upper bound of the size that the content would have with one more record. */
-  int bytesWith(@Nullable String answer) {
-    return bytes + LedgerShard.recordBytes(answer);
+  /** Returns an upper bound of the size in bytes after adding a full record with this response. */
+  int encodedBytesWith(@Nullable String response) {
+    return encodedBytes + LedgerShard.maxRecordBytes(response);
   }
 
   void put(LedgerRecord record) {
-    LedgerRecord old = recent.remove(record.key());
+    LedgerRecord old = fullRecords.remove(record.key());
     if (old != null) {
-      bytes -= LedgerShard.recordBytes(old.answer());
+      encodedBytes -= LedgerShard.maxRecordBytes(old.response());
     }
-    older.remove(record.key());
-    recent.put(record.key(), record);
-    bytes += LedgerShard.recordBytes(record.answer());
+    compactRecords.remove(record.key());
+    fullRecords.put(record.key(), record);
+    encodedBytes += LedgerShard.maxRecordBytes(record.response());
   }
 
   /**
-   * Compacts full records that did not change for a while and removes compact records past the
-   * retention. A STARTED record stays as it is for ever, because its starter may be paused for any
-   * time and run it afterwards.
+   * Compacts full records whose last change is longer ago than {@code fullRecordRetention}, and
+   * removes compact records older than {@code retention}. A STARTED record is kept forever, because
+   * its node may be paused for any time and then run the attempt. CANCELLED records are removed
+   * instead of compacted.
    */
-  void compact(long nowSeconds, Duration keepFull, Duration retention) {
-    Iterator<LedgerRecord> full = recent.values().iterator();
-    while (full.hasNext()) {
-      LedgerRecord r = full.next();
+  void compact(long nowSeconds, Duration fullRecordRetention, Duration retention) {
+    Iterator<LedgerRecord> iterator = fullRecords.values().iterator();
+    while (iterator.hasNext()) {
+      LedgerRecord r = iterator.next();
       if (r.state() != RecordState.STARTED
-          && nowSeconds - r.changedSeconds() > keepFull.toSeconds()) {
-        full.remove();
+          && nowSeconds - r.changedSeconds() > fullRecordRetention.toSeconds()) {
+        iterator.remove();
         if (r.state() != RecordState.CANCELLED) {
-          older.put(r.key(), CompactRecord.of(r));
+          compactRecords.put(r.key(), CompactRecord.of(r));
         }
       }
     }
-    long oldest = nowSeconds - retention.toSeconds();
-    older.values().removeIf(r -> r.changedSeconds() < oldest);
-    bytes = build().encodedBytes();
+    long oldestKeptSeconds = nowSeconds - retention.toSeconds();
+    compactRecords.values().removeIf(r -> r.changedSeconds() < oldestKeptSeconds);
+    encodedBytes = build().maxEncodedBytes();
   }
 
   LedgerShard build() {
-    return new LedgerShard(recent, older);
+    return new LedgerShard(fullRecords, compactRecords);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardEvent.java
@@ -3,54 +3,54 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.jspecify.annotations.Nullable;
 
-/** What a {@link ShardWriter} reacts to. */
+/** Events that a {@link ShardWriter} handles. */
 public sealed interface ShardEvent {
-  /** An attempt wants to start. */
+  /** A node requests the start record of an attempt. */
   record StartRequested(Attempt attempt) implements ShardEvent {}
 
   /**
-   * An attempt that was not dispatched, and never will be, gives up. Only its starter may ask.
+   * The node that started an attempt cancels it. The attempt was not dispatched and never will be.
    *
-   * @param leaveMark whether to record the cancellation even when the record does not exist,
-   *     because another node may still create it
+   * @param createIfAbsent whether to store a CANCELLED record even if the attempt has no record,
+   *     because another node may still create a start record
    */
-  record CancelRequested(Attempt attempt, boolean leaveMark) implements ShardEvent {}
+  record CancelRequested(Attempt attempt, boolean createIfAbsent) implements ShardEvent {}
 
   /**
    * An attempt ended.
    *
    * @param state FINISHED or UNKNOWN
-   * @param status HTTP status of the answer; 0 when there is none
-   * @param answer the answer, at most {@link LedgerLimits#MAX_ANSWER_CHARS}; null when there is
-   *     none or it is longer
+   * @param status HTTP status of the response; 0 if there is none
+   * @param response the response of at most {@link LedgerLimits#MAX_RESPONSE_CHARS} characters;
+   *     null if there is none or it is longer
    */
   record FinishRequested(
-      LedgerKey key, String nonce, RecordState state, int status, @Nullable String answer)
+      LedgerKey key, String nonce, RecordState state, int status, @Nullable String response)
       implements ShardEvent {
-    /** Checks state and length. */
+    /** Validates state and response length. */
     public FinishRequested {
       if (state != RecordState.FINISHED && state != RecordState.UNKNOWN) {
-        throw new IllegalArgumentException("an attempt can't finish as " + state);
+        throw new IllegalArgumentException("an attempt can't finish in state " + state);
       }
-      if (answer != null && answer.length() > LedgerLimits.MAX_ANSWER_CHARS) {
+      if (response != null && response.length() > LedgerLimits.MAX_RESPONSE_CHARS) {
         throw new IllegalArgumentException(
-            "an answer has at most "
-                + LedgerLimits.MAX_ANSWER_CHARS
+            "a response must have at most "
+                + LedgerLimits.MAX_RESPONSE_CHARS
                 + " characters, got "
-                + answer.length());
+                + response.length());
       }
     }
   }
 
   /**
-   * The object was read.
+   * The shard object was read.
    *
-   * @param version its version; empty when it does not exist
-   * @param content its content; null when it does not exist
+   * @param version version of the object; empty if it does not exist
+   * @param content content of the object; null if it does not exist
    */
   record ReadFinished(String version, @Nullable JsonNode content) implements ShardEvent {}
 
-  /** The object could not be read. */
+  /** The shard object could not be read. */
   record ReadFailed() implements ShardEvent {}
 
   /** The write was applied and the object has this version. */
@@ -59,12 +59,12 @@
   /** The write was not applied, because the object has another version. */
   record WriteConflicted() implements ShardEvent {}
 
-  /** The write was not applied and never will be. */
+  /** The write was rejected: it was not applied and never will be. */
   record WriteRefused(boolean tooLarge, long retryAfterNanos) implements ShardEvent {}
 
-  /** The write may have been applied, or may be applied later. */
+  /** The result of the write is unknown: it may have been applied or may be applied later. */
   record WriteUnknown() implements ShardEvent {}
 
-  /** The time of the last {@link ShardCommand.WakeAt} has come. */
-  record Woken() implements ShardEvent {}
+  /** The timer of the last {@link ShardCommand.SetTimer} fired. */
+  record TimerFired() implements ShardEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
@@ -8,8 +8,8 @@
 import org.mustardlatch.core.routing.Member;
 
 /**
- * Which node writes a shard. Ownership only makes group commit effective; nothing depends on nodes
- * agreeing about it.
+ * Chooses the node that writes a shard. Ownership only makes group commit effective; correctness
+ * does not depend on nodes choosing the same owner.
  */
 public final class ShardOwners {
   private ShardOwners() {}
@@ -18,17 +18,18 @@
    * Returns the owner by rendezvous hashing.
    *
    * @param live the live nodes
-   * @param storeRegion region of the object service, whose nodes come first; empty when not known
-   * @return the owner, or empty when there are no live nodes
+   * @param storeRegion region of the object service, whose nodes are preferred; empty if unknown
+   * @return the owner, or empty if there are no live nodes
    */
   public static Optional<HostId> owner(
       int shard, List<Member> live, Optional<RegionId> storeRegion) {
-    List<HostId> near =
+    List<HostId> inStoreRegion =
         live.stream()
             .filter(m -> storeRegion.isPresent() && m.region().equals(storeRegion.get()))
             .map(Member::host)
             .toList();
-    List<HostId> candidates = near.isEmpty() ? live.stream().map(Member::host).toList() : near;
+    List<HostId> candidates =
+        inStoreRegion.isEmpty() ? live.stream().map(Member::host).toList() : inStoreRegion;
     return Rendezvous.owner("ledger/" + LedgerKey.shardName(shard), candidates);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardWriter.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardWriter.java
@@ -12,35 +12,35 @@
 import org.mustardlatch.core.error.ErrorCode;
 
 /**
- * Group commit of one shard object: requests that arrive while a write is in progress go into the
- * next one. Any number of nodes may run a writer of the same shard at once; the condition of each
- * update keeps them apart.
+ * Writes one shard object with group commit: changes that are requested while a write is in
+ * progress go into the next write. Any number of nodes may run a writer of the same shard at once,
+ * because each update is conditional on the version of the object.
  *
- * <p>After a write whose result is not known, the changes in it are <i>exposed</i>: the write may
- * still be applied while the version that it names is the current one. They are settled only by a
- * read that shows another version, or by a further write on that version, because either makes the
- * unknown write fail if it was not applied yet.
+ * <p>If the result of a write is unknown, the write may still be applied as long as the object has
+ * the version on which the write is conditional. The changes in it are marked as <i>in an unknown
+ * write</i> until a read returns another version or a further write on that version succeeds. In
+ * both cases the unknown write can no longer be applied if it was not applied before.
  */
 public final class ShardWriter {
   private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(100).toNanos();
-  private static final long LAST_BACKOFF_NANOS = Duration.ofSeconds(5).toNanos();
+  private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(5).toNanos();
   private static final Duration MIN_RETRY_AFTER = Duration.ofSeconds(1);
 
   private final LedgerLimits limits;
-  private final RecordRules rules;
-  private final WriteBudget budget;
+  private final RecordTransitions transitions;
+  private final WriteRateLimiter rateLimiter;
   private final Map<String, PendingChange> pending = new LinkedHashMap<>();
 
   private Phase phase = Phase.IDLE;
-  private LedgerShard content = LedgerShard.EMPTY;
-  private String version = "";
-  private boolean mustRead = true;
-  private long contentNanos;
-  private long issuedNanos;
-  private @Nullable LedgerShard writing;
-  private Map<String, ShardCommand> inWrite = Map.of();
-  private @Nullable String unknownWriteVersion;
-  private int failures;
+  private LedgerShard cachedShard = LedgerShard.EMPTY;
+  private String cachedVersion = "";
+  private boolean readRequired = true;
+  private long cachedAtNanos;
+  private long callStartedNanos;
+  private @Nullable LedgerShard shardInWrite;
+  private Map<String, ShardCommand> responsesInWrite = Map.of();
+  private @Nullable String unknownWriteBaseVersion;
+  private int consecutiveFailures;
   private boolean backingOff;
   private long retryAtNanos;
 
@@ -50,16 +50,18 @@
     WRITING
   }
 
-  /** Creates the writer of one shard; the object is read before the first write. */
+  /** Creates the writer of one shard. It reads the object before the first write. */
   public ShardWriter(LedgerLimits limits) {
     this.limits = limits;
-    rules = new RecordRules(limits);
-    budget = new WriteBudget(limits.writesPerSecond() / LedgerKey.SHARDS, LedgerLimits.WRITE_BURST);
+    transitions = new RecordTransitions(limits);
+    rateLimiter =
+        new WriteRateLimiter(
+            limits.writesPerSecond() / LedgerKey.SHARD_COUNT, LedgerLimits.MAX_WRITE_BURST);
   }
 
   /**
-   * Returns whether this release can read the content of a shard object. What it can't read is
-   * never overwritten, and starts on it are refused.
+   * Returns whether this release can read the content of a shard object. Unreadable content is
+   * never overwritten, and starts in such a shard are refused.
    */
   public static boolean canRead(JsonNode content) {
     try {
@@ -70,8 +72,8 @@
     }
   }
 
-  /** Returns whether nothing is pending, so that the writer can be dropped without loss. */
-  public boolean idle() {
+  /** Returns whether no change is pending, so that the writer can be discarded without loss. */
+  public boolean isIdle() {
     return pending.isEmpty() && phase == Phase.IDLE;
   }
 
@@ -87,29 +89,29 @@
       case ShardEvent.StartRequested e -> start(e.attempt(), nowNanos, out);
       case ShardEvent.CancelRequested e -> cancel(e, nowNanos, out);
       case ShardEvent.FinishRequested e ->
-          replace(e.nonce(), new PendingChange.Goal.Finish(e), nowNanos);
+          supersede(e.nonce(), new PendingChange.Operation.Finish(e), nowNanos);
       case ShardEvent.ReadFinished e -> readFinished(e, nowNanos, out);
       case ShardEvent.ReadFailed e -> readFailed(nowNanos, out);
       case ShardEvent.WriteStored e -> writeStored(e.version(), out);
       case ShardEvent.WriteConflicted e -> writeConflicted();
       case ShardEvent.WriteRefused e -> writeRefused(e, nowNanos, out);
       case ShardEvent.WriteUnknown e -> writeUnknown();
-      case ShardEvent.Woken e -> {}
+      case ShardEvent.TimerFired e -> {}
     }
     advance(nowNanos, nowSeconds, out);
   }
 
   private void start(Attempt attempt, long nowNanos, Consumer<ShardCommand> out) {
     if (pending.containsKey(attempt.nonce())) {
-      return; // a repeated message; the first one gets the answer
+      return; // a repeated message; the first one gets the response
     }
     if (backingOff && nowNanos < retryAtNanos) {
       refuse(attempt, ErrorCode.STORE_UNAVAILABLE, nowNanos, out);
-    } else if (pending.size() >= limits.maxPending()) {
+    } else if (pending.size() >= limits.maxPendingChanges()) {
       refuse(attempt, ErrorCode.OVERLOADED, nowNanos, out);
     } else {
       pending.put(
-          attempt.nonce(), new PendingChange(new PendingChange.Goal.Start(attempt), nowNanos));
+          attempt.nonce(), new PendingChange(new PendingChange.Operation.Start(attempt), nowNanos));
     }
   }
 
@@ -117,29 +119,34 @@
       ShardEvent.CancelRequested request, long nowNanos, Consumer<ShardCommand> out) {
     Attempt attempt = request.attempt();
     PendingChange current = pending.get(attempt.nonce());
-    boolean untouched =
+    boolean inNoWrite =
         current != null
             && current.isStart()
-            && !current.exposed()
-            && !inWrite.containsKey(attempt.nonce());
-    if (untouched && !request.leaveMark()) {
+            && !current.inUnknownWrite()
+            && !responsesInWrite.containsKey(attempt.nonce());
+    if (inNoWrite && !request.createIfAbsent()) {
       pending.remove(attempt.nonce());
-      out.accept(new ShardCommand.CancelAnswer(attempt));
+      out.accept(new ShardCommand.CancelResponse(attempt));
     } else if (current == null || current.isStart()) {
-      replace(
-          attempt.nonce(), new PendingChange.Goal.Cancel(attempt, request.leaveMark()), nowNanos);
+      supersede(
+          attempt.nonce(),
+          new PendingChange.Operation.Cancel(attempt, request.createIfAbsent()),
+          nowNanos);
     }
   }
 
-  /** Puts a later change of the same attempt in the place of the pending one. */
-  private void replace(String nonce, PendingChange.Goal goal, long nowNanos) {
-    PendingChange change = new PendingChange(goal, nowNanos);
+  /**
+   * Replaces the pending change of an attempt with a later one, after the write in progress if that
+   * contains the pending change.
+   */
+  private void supersede(String nonce, PendingChange.Operation operation, long nowNanos) {
+    PendingChange change = new PendingChange(operation, nowNanos);
     PendingChange current = pending.get(nonce);
-    if (current != null && inWrite.containsKey(nonce)) {
+    if (current != null && responsesInWrite.containsKey(nonce)) {
       current.setNext(change);
       return;
     }
-    change.setExposed(current != null && current.exposed());
+    change.setInUnknownWrite(current != null && current.inUnknownWrite());
     pending.put(nonce, change);
   }
 
@@ -149,111 +156,119 @@
     try {
       found = event.content() == null ? LedgerShard.EMPTY : LedgerCodec.decode(event.content());
     } catch (IllegalArgumentException e) {
-      // Written by a later release: it must not be overwritten.
+      // A later release wrote the object, which must not be overwritten.
       readFailed(nowNanos, out);
       return;
     }
     phase = Phase.IDLE;
-    content = found;
-    version = event.version();
-    contentNanos = issuedNanos;
-    mustRead = false;
-    available();
-    if (unknownWriteVersion != null && !unknownWriteVersion.equals(version)) {
-      settleUnknownWrite();
+    cachedShard = found;
+    cachedVersion = event.version();
+    cachedAtNanos = callStartedNanos;
+    readRequired = false;
+    resetBackoff();
+    if (unknownWriteBaseVersion != null && !unknownWriteBaseVersion.equals(cachedVersion)) {
+      resolveUnknownWrite();
     }
   }
 
   private void readFailed(long nowNanos, Consumer<ShardCommand> out) {
     phase = Phase.IDLE;
     backOff(0, nowNanos);
-    refuseStarts(nowNanos, out);
+    refuseUnwrittenStarts(nowNanos, out);
   }
 
   private void writeStored(String newVersion, Consumer<ShardCommand> out) {
     phase = Phase.IDLE;
-    if (writing != null) {
-      content = writing;
+    if (shardInWrite != null) {
+      cachedShard = shardInWrite;
     }
-    version = newVersion;
-    contentNanos = issuedNanos;
-    available();
-    settleUnknownWrite();
-    Map<String, ShardCommand> answers = inWrite;
-    inWrite = Map.of();
-    answers.forEach(
-        (nonce, answer) -> {
+    cachedVersion = newVersion;
+    cachedAtNanos = callStartedNanos;
+    resetBackoff();
+    resolveUnknownWrite();
+    Map<String, ShardCommand> responses = responsesInWrite;
+    responsesInWrite = Map.of();
+    responses.forEach(
+        (nonce, response) -> {
           PendingChange change = pending.remove(nonce);
           if (change != null && change.next() != null) {
             pending.put(nonce, change.next());
           } else {
-            out.accept(answer);
+            out.accept(response);
           }
         });
   }
 
   private void writeConflicted() {
     phase = Phase.IDLE;
-    mustRead = true;
-    available();
-    endWrite(false);
+    readRequired = true;
+    resetBackoff();
+    clearWrite(false);
   }
 
   private void writeRefused(
       ShardEvent.WriteRefused event, long nowNanos, Consumer<ShardCommand> out) {
     phase = Phase.IDLE;
-    mustRead = true;
-    endWrite(false);
+    readRequired = true;
+    clearWrite(false);
     backOff(event.retryAfterNanos(), nowNanos);
-    refuseStarts(nowNanos, out);
+    refuseUnwrittenStarts(nowNanos, out);
   }
 
   private void writeUnknown() {
     phase = Phase.IDLE;
-    unknownWriteVersion = version;
-    mustRead = true;
-    endWrite(true);
+    unknownWriteBaseVersion = cachedVersion;
+    readRequired = true;
+    clearWrite(true);
   }
 
-  /** Takes up later changes of the attempts that were in the write. */
-  private void endWrite(boolean unknown) {
-    Set<String> nonces = inWrite.keySet();
-    inWrite = Map.of();
+  /**
+   * Ends a write that was not confirmed as stored. Its changes stay pending unless a later change
+   * of the same attempt replaces them.
+   */
+  private void clearWrite(boolean unknown) {
+    Set<String> nonces = responsesInWrite.keySet();
+    responsesInWrite = Map.of();
     for (String nonce : nonces) {
       PendingChange change = pending.get(nonce);
       if (change == null) {
         continue;
       }
-      change.setExposed(change.exposed() || unknown);
+      change.setInUnknownWrite(change.inUnknownWrite() || unknown);
       PendingChange next = change.next();
       if (next != null) {
-        next.setExposed(change.exposed());
+        next.setInUnknownWrite(change.inUnknownWrite());
         pending.put(nonce, next);
       }
     }
   }
 
-  private void settleUnknownWrite() {
-    unknownWriteVersion = null;
-    pending.values().forEach(c -> c.setExposed(false));
+  private void resolveUnknownWrite() {
+    unknownWriteBaseVersion = null;
+    pending.values().forEach(c -> c.setInUnknownWrite(false));
   }
 
-  private void available() {
-    failures = 0;
+  private void resetBackoff() {
+    consecutiveFailures = 0;
     backingOff = false;
   }
 
   private void backOff(long atLeastNanos, long nowNanos) {
-    long delay = Math.min(LAST_BACKOFF_NANOS, FIRST_BACKOFF_NANOS << Math.min(failures, 10));
-    failures++;
+    long delay =
+        Math.min(MAX_BACKOFF_NANOS, FIRST_BACKOFF_NANOS << Math.min(consecutiveFailures, 10));
+    consecutiveFailures++;
     backingOff = true;
     retryAtNanos = nowNanos + Math.max(atLeastNanos, delay);
   }
 
-  /** Refuses the starts that no write contains; the others stay undecided. */
-  private void refuseStarts(long nowNanos, Consumer<ShardCommand> out) {
+  /**
+   * Refuses the pending starts that no unknown write contains. The others stay pending, because
+   * they may still be applied.
+   */
+  private void refuseUnwrittenStarts(long nowNanos, Consumer<ShardCommand> out) {
     for (PendingChange change : List.copyOf(pending.values())) {
-      if (change.goal() instanceof PendingChange.Goal.Start s && !change.exposed()) {
+      if (change.operation() instanceof PendingChange.Operation.Start s
+          && !change.inUnknownWrite()) {
         pending.remove(s.attempt().nonce());
         refuse(s.attempt(), ErrorCode.STORE_UNAVAILABLE, nowNanos, out);
       }
@@ -263,83 +278,86 @@
   private void refuse(Attempt attempt, ErrorCode code, long nowNanos, Consumer<ShardCommand> out) {
     Duration wait = Duration.ofNanos(backingOff ? Math.max(0, retryAtNanos - nowNanos) : 0);
     Duration retryAfter = wait.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : wait;
-    out.accept(new ShardCommand.StartAnswer(attempt, new StartResult.NotStarted(code, retryAfter)));
+    out.accept(
+        new ShardCommand.StartResponse(attempt, new StartResult.NotStarted(code, retryAfter)));
   }
 
-  /** Does the next thing that is possible: wait, read, answer, or write. */
+  /** Takes the next possible step: waits, reads, responds or writes. */
   private void advance(long nowNanos, long nowSeconds, Consumer<ShardCommand> out) {
     if (phase != Phase.IDLE || pending.isEmpty()) {
       return;
     }
     if (backingOff && nowNanos < retryAtNanos) {
-      out.accept(new ShardCommand.WakeAt(retryAtNanos));
-    } else if (mustRead) {
+      out.accept(new ShardCommand.SetTimer(retryAtNanos));
+    } else if (readRequired) {
       read(nowNanos, out);
     } else {
-      decide(nowNanos, nowSeconds, out);
+      applyPendingChanges(nowNanos, nowSeconds, out);
     }
   }
 
-  private void decide(long nowNanos, long nowSeconds, Consumer<ShardCommand> out) {
-    ShardEditor editor = new ShardEditor(content);
+  private void applyPendingChanges(long nowNanos, long nowSeconds, Consumer<ShardCommand> out) {
+    ShardEditor editor = new ShardEditor(cachedShard);
     editor.compact(
-        nowSeconds, LedgerLimits.KEEP_FULL, limits.retention().plus(LedgerLimits.RETENTION_MARGIN));
-    Map<String, ShardCommand> edits = new LinkedHashMap<>();
-    Set<LedgerKey> edited = new HashSet<>();
-    boolean exposed = false;
-    boolean stale = false;
+        nowSeconds,
+        LedgerLimits.FULL_RECORD_RETENTION,
+        limits.retention().plus(LedgerLimits.CLOCK_SKEW_MARGIN));
+    Map<String, ShardCommand> responses = new LinkedHashMap<>();
+    Set<LedgerKey> modifiedKeys = new HashSet<>();
+    boolean unresolved = false;
+    boolean freshReadRequired = false;
     for (Map.Entry<String, PendingChange> e : List.copyOf(pending.entrySet())) {
       PendingChange change = e.getValue();
-      Decision decision = rules.apply(change.goal(), editor, nowSeconds);
-      LedgerKey key = keyOf(change.goal());
-      if (decision.edits()) {
-        edits.put(e.getKey(), decision.answer());
-        edited.add(key);
-      } else if (change.exposed()) {
-        exposed = true;
-      } else if (decision.passing() && contentNanos < change.sinceNanos()) {
-        stale = true;
-      } else if (!edited.contains(key)) { // else its answer rests on a change not stored yet
+      ChangeDecision decision = transitions.apply(change.operation(), editor, nowSeconds);
+      LedgerKey key = keyOf(change.operation());
+      if (decision.modifiesRecord()) {
+        responses.put(e.getKey(), decision.response());
+        modifiedKeys.add(key);
+      } else if (change.inUnknownWrite()) {
+        unresolved = true;
+      } else if (decision.provisional() && cachedAtNanos < change.requestedAtNanos()) {
+        freshReadRequired = true;
+      } else if (!modifiedKeys.contains(key)) { // else the response depends on an unstored change
         pending.remove(e.getKey());
-        out.accept(decision.answer());
+        out.accept(decision.response());
       }
     }
-    if (stale) {
+    if (freshReadRequired) {
       read(nowNanos, out);
-    } else if (exposed || !edits.isEmpty()) {
-      write(editor.build(), edits, nowNanos, out);
+    } else if (unresolved || !responses.isEmpty()) {
+      write(editor.build(), responses, nowNanos, out);
     }
   }
 
   private void read(long nowNanos, Consumer<ShardCommand> out) {
     phase = Phase.READING;
-    issuedNanos = nowNanos;
+    callStartedNanos = nowNanos;
     out.accept(new ShardCommand.Read());
   }
 
   private void write(
       LedgerShard next,
-      Map<String, ShardCommand> edits,
+      Map<String, ShardCommand> responses,
       long nowNanos,
       Consumer<ShardCommand> out) {
-    long wait = budget.waitNanos(nowNanos);
+    long wait = rateLimiter.waitNanos(nowNanos);
     if (wait > 0) {
-      out.accept(new ShardCommand.WakeAt(nowNanos + wait));
+      out.accept(new ShardCommand.SetTimer(nowNanos + wait));
       return;
     }
-    budget.take(nowNanos);
+    rateLimiter.acquire(nowNanos);
     phase = Phase.WRITING;
-    issuedNanos = nowNanos;
-    writing = next;
-    inWrite = edits;
-    out.accept(new ShardCommand.Write(version, LedgerCodec.encode(next)));
+    callStartedNanos = nowNanos;
+    shardInWrite = next;
+    responsesInWrite = responses;
+    out.accept(new ShardCommand.Write(cachedVersion, LedgerCodec.encode(next)));
   }
 
-  private static LedgerKey keyOf(PendingChange.Goal goal) {
-    return switch (goal) {
-      case PendingChange.Goal.Start s -> s.attempt().key();
-      case PendingChange.Goal.Cancel c -> c.attempt().key();
-      case PendingChange.Goal.Finish f -> f.request().key();
+  private static LedgerKey keyOf(PendingChange.Operation operation) {
+    return switch (operation) {
+      case PendingChange.Operation.Start s -> s.attempt().key();
+      case PendingChange.Operation.Cancel c -> c.attempt().key();
+      case PendingChange.Operation.Finish f -> f.request().key();
     };
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/StartResult.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/StartResult.java
@@ -4,27 +4,27 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.error.ErrorCode;
 
-/** Answer to the request to start an attempt. */
+/** Result of a request to start an attempt. */
 public sealed interface StartResult {
-  /** The record exists and names this attempt: its starter may dispatch it once. */
+  /** The start record of this attempt is stored: its node may dispatch it once. */
   record Started() implements StartResult {}
 
   /**
-   * Another attempt has the key, or this one is over.
+   * Another attempt has the key, or this attempt already ended.
    *
-   * @param state STARTED while it may be in progress, FINISHED, or UNKNOWN
+   * @param state STARTED while the attempt may be in progress, FINISHED or UNKNOWN
    * @param sameRequest whether the key was used with the same request digest
-   * @param status HTTP status of the recorded answer; 0 when there is none
-   * @param answer the recorded answer; null when there is none or it is no longer kept
+   * @param status HTTP status of the recorded response; 0 if there is none
+   * @param response the recorded response; null if there is none or it is no longer kept
    */
-  record Existing(RecordState state, boolean sameRequest, int status, @Nullable String answer)
+  record Existing(RecordState state, boolean sameRequest, int status, @Nullable String response)
       implements StartResult {}
 
   /**
-   * The writer made no record of this attempt, and none of its writes can make one later.
+   * The writer stored no record of this attempt, and none of its writes can store one later.
    *
-   * @param code why
-   * @param retryAfter time after which a new attempt makes sense
+   * @param code reason of the refusal
+   * @param retryAfter time after which the caller may retry
    */
   record NotStarted(ErrorCode code, Duration retryAfter) implements StartResult {}
 }
--- a/core/src/main/java/org/mustardlatch/core/orders/EngineOrder.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/EngineOrder.java
@@ -4,23 +4,23 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * An order. It states the desired end state, so that repeating it is harmless.
+ * Order to an engine. It states the desired end state, so that repeating it has no further effect.
  *
- * @param engine who gets it
- * @param kind which part of the state it is about
+ * @param engine the engine that receives the order
+ * @param kind the part of the engine's state that the order changes
  * @param role desired role
  * @param weights desired weights
- * @param revision revision of the manifest that wants it
+ * @param revision revision of the manifest from which the order results
  */
 public record EngineOrder(
     UpstreamId engine, Kind kind, UpstreamRole role, String weights, long revision) {
-  /** Part of the state. */
+  /** Kind of an order. */
   public enum Kind {
-    /** Take no new work, as the first step of a role change. */
+    /** Accept no new requests; the first step of a role change. */
     DRAIN,
-    /** Change the role; sent to a drained engine only. */
+    /** Change the role; sent only to a drained engine. */
     SET_ROLE,
-    /** Load weights. */
+    /** Load the desired weights. */
     LOAD_WEIGHTS
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/orders/LeaseEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/LeaseEvent.java
@@ -1,17 +1,18 @@
 package org.mustardlatch.core.orders;
 
-/** What an {@link OrderLease} reacts to. */
+/** Events that an {@link OrderLease} handles. */
 public sealed interface LeaseEvent {
   /**
-   * Whether this node should hold the lease, for example because it is first in rendezvous order.
+   * This node became or ceased to be a candidate for the lease, for example because it is the first
+   * node in rendezvous order.
    */
-  record Wanted(boolean wanted) implements LeaseEvent {}
+  record CandidacyChanged(boolean candidate) implements LeaseEvent {}
 
   /**
    * The lease object was read.
    *
-   * @param version its version, 0 when it does not exist
-   * @param holder the nonce of the term in it, empty when there is none
+   * @param version version of the lease object; 0 if it does not exist
+   * @param holder nonce of the process that holds the lease; empty if there is none
    */
   record ReadFinished(long version, String holder) implements LeaseEvent {}
 
@@ -21,9 +22,9 @@
   /** The write was applied. */
   record WriteStored(long version) implements LeaseEvent {}
 
-  /** The write was not applied, or may have been. */
+  /** The write was not applied, or its result is unknown. */
   record WriteFailed() implements LeaseEvent {}
 
-  /** The time of the last {@link LeaseCommand.WakeAt} has come. */
-  record Woken() implements LeaseEvent {}
+  /** The timer of the last {@link LeaseCommand.SetTimer} fired. */
+  record TimerFired() implements LeaseEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
@@ -4,33 +4,33 @@
 import java.util.function.Consumer;
 
 /**
- * One node's side of the lease on orders to a pool.
+ * The part of one node in the lease that allows its holder to send orders to engines.
  *
- * <p>A holder counts its term from the moment before it sent the write; a successor counts it from
- * the moment when it first saw the version that the write made, and adds the margin. So the old
- * term has ended before the new one begins, whatever the difference between the clocks. A late
- * write of an old holder fails by its version.
+ * <p>A holder counts its term from the time just before it sent the write. A successor counts the
+ * term from the time when it first read the version that the write created, and adds the safety
+ * margin. So the old term ends before the new one begins, whatever the offset between the clocks. A
+ * delayed write of an old holder fails because its version is outdated.
  */
 public final class OrderLease {
   private final LeaseTimes times;
   private final String nonce;
-  private boolean wanted;
-  private boolean busy;
-  private long seenVersion = -1;
-  private long seenNanos;
-  private boolean own;
-  private long sentNanos;
+  private boolean candidate;
+  private boolean callInProgress;
+  private long lastSeenVersion = -1;
+  private long versionFirstSeenNanos;
+  private boolean holdsLease;
+  private long writeSentNanos;
   private long termStartNanos;
-  private boolean mustRead = true;
-  private boolean unsettled;
-  private long unsettledSentNanos;
-  private long unsettledVersion;
-  private long wakeNanos;
+  private boolean readRequired = true;
+  private boolean writeResultUnknown;
+  private long unknownWriteSentNanos;
+  private long unknownWriteBaseVersion;
+  private long nextCallNanos;
 
   /**
-   * Creates the side of one node, without the lease.
+   * Creates the lease of one node, which does not hold it yet.
    *
-   * @param nonce names this process; never used by another one
+   * @param nonce identifies this process; never used by another process
    */
   public OrderLease(LeaseTimes times, String nonce) {
     this.times = times;
@@ -38,90 +38,94 @@
   }
 
   /**
-   * Returns the fencing token when an order may be sent now: the lease lasts longer than the order
-   * can be on its way. To be asked right before each send.
+   * Returns the fencing token if an order may be sent now, which requires that the lease is still
+   * valid when the send times out. Call it immediately before each send.
    */
-  public OptionalLong tokenForSending(long nowNanos) {
-    long needed = times.sendTimeout().plus(times.margin()).toNanos();
-    boolean enough = own && nowNanos - termStartNanos + needed < times.term().toNanos();
-    return enough ? OptionalLong.of(seenVersion) : OptionalLong.empty();
+  public OptionalLong fencingTokenForSending(long nowNanos) {
+    long requiredNanos = times.sendTimeout().plus(times.safetyMargin()).toNanos();
+    boolean mayStillSend =
+        holdsLease && nowNanos - termStartNanos + requiredNanos < times.term().toNanos();
+    return mayStillSend ? OptionalLong.of(lastSeenVersion) : OptionalLong.empty();
   }
 
   /** Handles one event; {@code nowNanos} is monotonic time. */
   public void handle(LeaseEvent event, long nowNanos, Consumer<LeaseCommand> out) {
     switch (event) {
-      case LeaseEvent.Wanted e -> wanted = e.wanted();
+      case LeaseEvent.CandidacyChanged e -> candidate = e.candidate();
       case LeaseEvent.ReadFinished e -> readFinished(e, nowNanos, out);
-      case LeaseEvent.ReadFailed e -> failed(nowNanos);
-      case LeaseEvent.WriteStored e -> stored(e.version(), nowNanos, out);
+      case LeaseEvent.ReadFailed e -> delayNextCall(nowNanos);
+      case LeaseEvent.WriteStored e -> writeStored(e.version(), nowNanos, out);
       case LeaseEvent.WriteFailed e -> writeFailed(nowNanos);
-      case LeaseEvent.Woken e -> {}
+      case LeaseEvent.TimerFired e -> {}
     }
     advance(nowNanos, out);
   }
 
   private void readFinished(
       LeaseEvent.ReadFinished event, long nowNanos, Consumer<LeaseCommand> out) {
-    busy = false;
-    mustRead = false;
-    if (event.version() != seenVersion) {
-      seenVersion = event.version();
-      seenNanos = nowNanos;
+    callInProgress = false;
+    readRequired = false;
+    if (event.version() != lastSeenVersion) {
+      lastSeenVersion = event.version();
+      versionFirstSeenNanos = nowNanos;
     }
-    boolean ownWrite = event.holder().equals(nonce);
-    if (unsettled && event.version() != unsettledVersion) {
-      unsettled = false;
-      if (ownWrite) {
-        begin(unsettledSentNanos, out);
+    boolean writtenByThisNode = event.holder().equals(nonce);
+    if (writeResultUnknown && event.version() != unknownWriteBaseVersion) {
+      writeResultUnknown = false;
+      if (writtenByThisNode) {
+        startTerm(unknownWriteSentNanos, out);
       }
     }
-    own &= ownWrite;
+    holdsLease &= writtenByThisNode;
   }
 
-  private void stored(long version, long nowNanos, Consumer<LeaseCommand> out) {
-    busy = false;
-    unsettled = false;
-    seenVersion = version;
-    seenNanos = nowNanos;
-    begin(sentNanos, out);
+  private void writeStored(long version, long nowNanos, Consumer<LeaseCommand> out) {
+    callInProgress = false;
+    writeResultUnknown = false;
+    lastSeenVersion = version;
+    versionFirstSeenNanos = nowNanos;
+    startTerm(writeSentNanos, out);
   }
 
-  /** Remembers the first of several writes without a result: any of them may be the applied one. */
+  /**
+   * Records the send time and base version of the first of several writes with unknown results,
+   * because any of them may be the write that was applied.
+   */
   private void writeFailed(long nowNanos) {
-    mustRead = true;
-    if (!unsettled) {
-      unsettled = true;
-      unsettledSentNanos = sentNanos;
-      unsettledVersion = seenVersion;
+    readRequired = true;
+    if (!writeResultUnknown) {
+      writeResultUnknown = true;
+      unknownWriteSentNanos = writeSentNanos;
+      unknownWriteBaseVersion = lastSeenVersion;
     }
-    failed(nowNanos);
+    delayNextCall(nowNanos);
   }
 
-  private void begin(long startNanos, Consumer<LeaseCommand> out) {
+  private void startTerm(long startNanos, Consumer<LeaseCommand> out) {
     termStartNanos = startNanos;
-    if (!own) {
-      own = true;
+    if (!holdsLease) {
+      holdsLease = true;
       out.accept(new LeaseCommand.Acquired());
     }
   }
 
-  private void failed(long nowNanos) {
-    busy = false;
-    wakeNanos = nowNanos + times.sendTimeout().toNanos();
+  private void delayNextCall(long nowNanos) {
+    callInProgress = false;
+    nextCallNanos = nowNanos + times.sendTimeout().toNanos();
   }
 
   private void advance(long nowNanos, Consumer<LeaseCommand> out) {
-    if (own && nowNanos - termStartNanos >= times.term().toNanos()) {
-      own = false; // it must be acquired again, because a successor may have given orders
+    if (holdsLease && nowNanos - termStartNanos >= times.term().toNanos()) {
+      holdsLease = false; // acquire it again, because a successor may have sent orders
     }
-    if (busy || !wanted) {
+    if (callInProgress || !candidate) {
       return;
     }
-    if (nowNanos < wakeNanos) {
-      out.accept(new LeaseCommand.WakeAt(wakeNanos));
-    } else if (mustRead) {
+    if (nowNanos < nextCallNanos) {
+      out.accept(new LeaseCommand.SetTimer(nextCallNanos));
+    } else if (readRequired) {
       read(out);
-    } else if (own) {
+    } else if (holdsLease) {
       renew(nowNanos, out);
     } else {
       takeOver(nowNanos, out);
@@ -129,34 +133,37 @@
   }
 
   private void renew(long nowNanos, Consumer<LeaseCommand> out) {
-    long due = termStartNanos + times.renewEvery().toNanos();
-    if (nowNanos >= due) {
+    long renewAtNanos = termStartNanos + times.renewalInterval().toNanos();
+    if (nowNanos >= renewAtNanos) {
       write(nowNanos, out);
     } else {
-      out.accept(new LeaseCommand.WakeAt(due));
+      out.accept(new LeaseCommand.SetTimer(renewAtNanos));
     }
   }
 
-  /** Waits until the term of the version that was seen last has surely ended; then writes on it. */
+  /**
+   * Waits until the term of the last read version has ended on every clock, then writes on
+   * condition of that version.
+   */
   private void takeOver(long nowNanos, Consumer<LeaseCommand> out) {
-    long free = seenNanos + times.term().plus(times.margin()).toNanos();
-    if (seenVersion == 0 || nowNanos >= free) {
+    long termEndNanos = versionFirstSeenNanos + times.term().plus(times.safetyMargin()).toNanos();
+    if (lastSeenVersion == 0 || nowNanos >= termEndNanos) {
       write(nowNanos, out);
     } else {
-      mustRead = true; // to learn of renewals
-      wakeNanos = Math.min(free, nowNanos + times.renewEvery().toNanos());
-      out.accept(new LeaseCommand.WakeAt(wakeNanos));
+      readRequired = true; // to detect renewals
+      nextCallNanos = Math.min(termEndNanos, nowNanos + times.renewalInterval().toNanos());
+      out.accept(new LeaseCommand.SetTimer(nextCallNanos));
     }
   }
 
   private void read(Consumer<LeaseCommand> out) {
-    busy = true;
+    callInProgress = true;
     out.accept(new LeaseCommand.Read());
   }
 
   private void write(long nowNanos, Consumer<LeaseCommand> out) {
-    busy = true;
-    sentNanos = nowNanos;
-    out.accept(new LeaseCommand.Write(seenVersion, nonce));
+    callInProgress = true;
+    writeSentNanos = nowNanos;
+    out.accept(new LeaseCommand.Write(lastSeenVersion, nonce));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderPlanner.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderPlanner.java
@@ -13,129 +13,154 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * Derives the orders that are due from what engines report and what the manifest wants. It keeps no
- * state, so a successor comes to the same orders as soon as it has read the engines back.
+ * Derives the next orders from the reported and the desired states of the engines. The planner is
+ * stateless, so a new holder of the lease derives the same orders as soon as it has read the
+ * engines.
  */
 public final class OrderPlanner {
   private OrderPlanner() {}
 
   /**
-   * Returns the orders that may be given now, at most one for an engine.
+   * Returns the orders that may be sent now, at most one per engine.
    *
-   * @param goals what the manifest wants; engines without a view are left alone
-   * @param views what the engines reported, one for an engine
-   * @param maxLoads weight loads that may be in progress at once in the whole fleet, at least 0
+   * @param desired states that the manifest specifies; engines without a reported state get no
+   *     order
+   * @param reported states that the engines reported, one per engine
+   * @param maxConcurrentLoads maximum number of weight loads in progress at once in the whole
+   *     fleet, at least 0
    * @param revision revision of the manifest
    */
   public static List<EngineOrder> plan(
-      List<EngineGoal> goals, List<EngineView> views, int maxLoads, long revision) {
-    if (maxLoads < 0) {
-      throw new IllegalArgumentException("maxLoads must not be negative, got " + maxLoads);
+      List<DesiredEngineState> desired,
+      List<ReportedEngineState> reported,
+      int maxConcurrentLoads,
+      long revision) {
+    if (maxConcurrentLoads < 0) {
+      throw new IllegalArgumentException(
+          "maxConcurrentLoads must not be negative, got " + maxConcurrentLoads);
     }
-    Map<UpstreamId, EngineView> viewOf =
-        views.stream().collect(Collectors.toMap(EngineView::engine, Function.identity()));
-    Map<String, List<EngineGoal>> pools =
-        goals.stream()
-            .collect(Collectors.groupingBy(EngineGoal::pool, TreeMap::new, Collectors.toList()));
+    Map<UpstreamId, ReportedEngineState> reportedByEngine =
+        reported.stream()
+            .collect(Collectors.toMap(ReportedEngineState::engine, Function.identity()));
+    Map<String, List<DesiredEngineState>> pools =
+        desired.stream()
+            .collect(
+                Collectors.groupingBy(DesiredEngineState::pool, TreeMap::new, Collectors.toList()));
     List<EngineOrder> orders = new ArrayList<>();
-    for (List<EngineGoal> pool : pools.values()) {
-      EngineOrder change = roleChange(pool, viewOf, revision);
+    for (List<DesiredEngineState> pool : pools.values()) {
+      EngineOrder change = nextRoleChange(pool, reportedByEngine, revision);
       if (change != null) {
         orders.add(change);
       }
     }
     Set<UpstreamId> changing = new HashSet<>();
     orders.forEach(o -> changing.add(o.engine()));
-    orders.addAll(loads(pools, viewOf, maxLoads, changing, revision));
+    orders.addAll(loadOrders(pools, reportedByEngine, maxConcurrentLoads, changing, revision));
     return orders;
   }
 
   /**
-   * Returns the next step of the pool's role change. The engine nearest to drained goes first, so
-   * an engine that was told to drain stays the one that changes.
+   * Returns the next order for a role change in the pool, or null if there is none. The engine with
+   * the fewest open requests goes first, so that an engine that was ordered to drain remains the
+   * one whose role changes.
    */
-  private static @Nullable EngineOrder roleChange(
-      List<EngineGoal> pool, Map<UpstreamId, EngineView> viewOf, long revision) {
+  private static @Nullable EngineOrder nextRoleChange(
+      List<DesiredEngineState> pool,
+      Map<UpstreamId, ReportedEngineState> reportedByEngine,
+      long revision) {
     return pool.stream()
-        .filter(g -> viewOf.containsKey(g.engine()))
-        .filter(g -> view(viewOf, g).role() != g.role())
-        .filter(g -> keepsRole(pool, viewOf, g))
+        .filter(g -> reportedByEngine.containsKey(g.engine()))
+        .filter(g -> reportedState(reportedByEngine, g).role() != g.role())
+        .filter(g -> poolKeepsStages(pool, reportedByEngine, g))
         .min(
-            Comparator.comparingInt((EngineGoal g) -> view(viewOf, g).heldRequests())
-                .thenComparing(EngineGoal::engine))
-        .map(g -> step(g, view(viewOf, g), revision))
+            Comparator.comparingInt(
+                    (DesiredEngineState g) -> reportedState(reportedByEngine, g).openRequests())
+                .thenComparing(DesiredEngineState::engine))
+        .map(g -> roleChangeOrder(g, reportedState(reportedByEngine, g), revision))
         .orElse(null);
   }
 
-  private static EngineOrder step(EngineGoal goal, EngineView view, long revision) {
+  private static EngineOrder roleChangeOrder(
+      DesiredEngineState desired, ReportedEngineState reported, long revision) {
     EngineOrder.Kind kind =
-        view.heldRequests() > 0 ? EngineOrder.Kind.DRAIN : EngineOrder.Kind.SET_ROLE;
-    return new EngineOrder(goal.engine(), kind, goal.role(), goal.weights(), revision);
+        reported.openRequests() > 0 ? EngineOrder.Kind.DRAIN : EngineOrder.Kind.SET_ROLE;
+    return new EngineOrder(desired.engine(), kind, desired.role(), desired.weights(), revision);
   }
 
-  /** Whether another engine of the pool that can serve has what this one's present role does. */
-  private static boolean keepsRole(
-      List<EngineGoal> pool, Map<UpstreamId, EngineView> viewOf, EngineGoal changing) {
-    EngineView old = view(viewOf, changing);
-    List<EngineView> others =
+  /**
+   * Returns whether the pool still serves each stage (prefill, decode) of the engine's current role
+   * after the role change, by the new role or by another engine that is not loading weights.
+   */
+  private static boolean poolKeepsStages(
+      List<DesiredEngineState> pool,
+      Map<UpstreamId, ReportedEngineState> reportedByEngine,
+      DesiredEngineState changing) {
+    ReportedEngineState current = reportedState(reportedByEngine, changing);
+    List<ReportedEngineState> others =
         pool.stream()
             .filter(g -> !g.engine().equals(changing.engine()))
-            .map(g -> viewOf.get(g.engine()))
+            .map(g -> reportedByEngine.get(g.engine()))
             .filter(v -> v != null && !v.loading())
             .toList();
-    boolean prefills =
-        !old.role().prefills()
+    boolean prefillServed =
+        !current.role().prefills()
             || changing.role().prefills()
             || others.stream().anyMatch(v -> v.role().prefills());
-    boolean decodes =
-        !old.role().decodes()
+    boolean decodeServed =
+        !current.role().decodes()
             || changing.role().decodes()
             || others.stream().anyMatch(v -> v.role().decodes());
-    return prefills && decodes;
+    return prefillServed && decodeServed;
   }
 
-  private static List<EngineOrder> loads(
-      Map<String, List<EngineGoal>> pools,
-      Map<UpstreamId, EngineView> viewOf,
-      int maxLoads,
+  private static List<EngineOrder> loadOrders(
+      Map<String, List<DesiredEngineState>> pools,
+      Map<UpstreamId, ReportedEngineState> reportedByEngine,
+      int maxConcurrentLoads,
       Set<UpstreamId> changing,
       long revision) {
-    long running = viewOf.values().stream().filter(EngineView::loading).count();
+    long loadsInProgress =
+        reportedByEngine.values().stream().filter(ReportedEngineState::loading).count();
     return pools.values().stream()
-        .sorted(Comparator.comparingInt(pool -> freeSlots(pool, viewOf)))
+        .sorted(Comparator.comparingInt(pool -> freeSlotsOf(pool, reportedByEngine)))
         .flatMap(
             pool ->
                 pool.stream()
-                    .filter(g -> viewOf.containsKey(g.engine()) && !changing.contains(g.engine()))
-                    .filter(g -> needsLoad(g, view(viewOf, g))))
-        .limit(Math.max(0, maxLoads - running))
+                    .filter(
+                        g ->
+                            reportedByEngine.containsKey(g.engine())
+                                && !changing.contains(g.engine()))
+                    .filter(g -> needsLoad(g, reportedState(reportedByEngine, g))))
+        .limit(Math.max(0, maxConcurrentLoads - loadsInProgress))
         .map(
             g ->
                 new EngineOrder(
                     g.engine(),
                     EngineOrder.Kind.LOAD_WEIGHTS,
-                    view(viewOf, g).role(),
+                    reportedState(reportedByEngine, g).role(),
                     g.weights(),
                     revision))
         .toList();
   }
 
-  private static boolean needsLoad(EngineGoal goal, EngineView view) {
-    return !view.loading() && !view.weights().equals(goal.weights());
+  private static boolean needsLoad(DesiredEngineState desired, ReportedEngineState reported) {
+    return !reported.loading() && !reported.weights().equals(desired.weights());
   }
 
-  private static int freeSlots(List<EngineGoal> pool, Map<UpstreamId, EngineView> viewOf) {
+  private static int freeSlotsOf(
+      List<DesiredEngineState> pool, Map<UpstreamId, ReportedEngineState> reportedByEngine) {
     return pool.stream()
-        .map(g -> viewOf.get(g.engine()))
+        .map(g -> reportedByEngine.get(g.engine()))
         .mapToInt(v -> v == null ? 0 : v.freeSlots())
         .sum();
   }
 
-  private static EngineView view(Map<UpstreamId, EngineView> viewOf, EngineGoal goal) {
-    EngineView view = viewOf.get(goal.engine());
-    if (view == null) {
-      throw new IllegalStateException("engine " + goal.engine() + " was not read");
+  private static ReportedEngineState reportedState(
+      Map<UpstreamId, ReportedEngineState> reportedByEngine, DesiredEngineState desired) {
+    ReportedEngineState reported = reportedByEngine.get(desired.engine());
+    if (reported == null) {
+      throw new IllegalStateException("engine " + desired.engine() + " was not read");
     }
-    return view;
+    return reported;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/orders/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Orders to engines (design 4.9): who may give them, and which are due. No input or output, no
- * threads, no wall clock.
+ * Orders to engines (design 4.9): the lease that allows a node to send them, and the planning of
+ * the next orders. The code does no I/O, starts no threads and does not use the wall clock.
  */
 @NullMarked
 package org.mustardlatch.core.orders;
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
@@ -8,14 +8,14 @@
 /** Application that counts its runs. */
 final class FakeApplication {
   private final Map<LedgerKey, Integer> runs = new HashMap<>();
-  private final Map<LedgerKey, String> answers = new HashMap<>();
-  private final Set<String> ran = new HashSet<>();
+  private final Map<LedgerKey, String> responses = new HashMap<>();
+  private final Set<String> executedNonces = new HashSet<>();
 
   String run(Attempt attempt) {
     runs.merge(attempt.key(), 1, Integer::sum);
-    ran.add(attempt.nonce());
+    executedNonces.add(attempt.nonce());
     String answer = "answer to " + attempt.nonce();
-    answers.put(attempt.key(), answer);
+    responses.put(attempt.key(), answer);
     return answer;
   }
 
@@ -23,11 +23,11 @@
     return runs.getOrDefault(key, 0);
   }
 
-  boolean ran(Attempt attempt) {
-    return ran.contains(attempt.nonce());
+  boolean executedNonces(Attempt attempt) {
+    return executedNonces.contains(attempt.nonce());
   }
 
-  String answer(LedgerKey key) {
-    return answers.getOrDefault(key, "never ran");
+  String response(LedgerKey key) {
+    return responses.getOrDefault(key, "never ran");
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
@@ -6,10 +6,10 @@
 final class FakeCall {
   final Attempt attempt;
   final long deadlineNanos;
-  @Nullable KeyedReply reply;
-  int replies;
-  int dispatches;
-  boolean callerGone;
+  @Nullable KeyedResponse response;
+  int responseCount;
+  int dispatchCount;
+  boolean callerDisconnected;
   boolean nodeDied;
 
   FakeCall(Attempt attempt, long deadlineNanos) {
@@ -17,8 +17,8 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  void replied(KeyedReply r) {
-    reply = r;
-    replies++;
+  void recordResponse(KeyedResponse r) {
+    response = r;
+    responseCount++;
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
@@ -23,22 +23,22 @@
   final long incarnation;
   final LedgerNode ledger;
   final Map<String, FakeCall> calls = new HashMap<>();
-  private final LedgerWorld world;
+  private final LedgerSimulation simulation;
   private final RandomGenerator random;
-  private final Queue<Runnable> whilePaused = new ArrayDeque<>();
-  private final Map<Integer, TimerSubscription> wakes = new HashMap<>();
-  private final long skewSeconds;
-  private int pauses;
+  private final Queue<Runnable> deferredTasks = new ArrayDeque<>();
+  private final Map<Integer, TimerSubscription> shardTimers = new HashMap<>();
+  private final long clockSkewSeconds;
+  private int activePauses;
   private boolean dead;
 
-  FakeNode(LedgerWorld world, HostId host, long incarnation, RandomGenerator random) {
-    this.world = world;
+  FakeNode(LedgerSimulation world, HostId host, long incarnation, RandomGenerator random) {
+    this.simulation = world;
     this.host = host;
     this.incarnation = incarnation;
     this.random = random;
-    skewSeconds = random.nextLong(-60, 61);
+    clockSkewSeconds = random.nextLong(-60, 61);
     LedgerLimits limits = LedgerLimits.of(Duration.ofHours(24), 300);
-    ledger = new LedgerNode(host, noncePrefix(), () -> limits, KeyedPolicy.DEFAULT, this);
+    ledger = new LedgerNode(host, noncePrefix(), () -> limits, KeyedRequestTimeouts.DEFAULT, this);
   }
 
   String noncePrefix() {
@@ -51,14 +51,14 @@
   }
 
   void pause(Duration duration) {
-    pauses++;
-    world.time.schedule(duration, this::resume);
+    activePauses++;
+    simulation.time.schedule(duration, this::resume);
   }
 
   private void resume() {
-    pauses--;
-    List<Runnable> tasks = new ArrayList<>(whilePaused);
-    whilePaused.clear();
+    activePauses--;
+    List<Runnable> tasks = new ArrayList<>(deferredTasks);
+    deferredTasks.clear();
     tasks.forEach(this::run);
   }
 
@@ -67,17 +67,18 @@
     if (dead) {
       return;
     }
-    if (pauses > 0) {
-      whilePaused.add(task);
+    if (activePauses > 0) {
+      deferredTasks.add(task);
     } else {
       task.run();
-      world.maybeDisturb(this);
+      simulation.maybeInjectFault(this);
     }
   }
 
-  Now now() {
-    long nanos = world.time.nanos();
-    return new Now(nanos, LedgerWorld.START_SECONDS + nanos / 1_000_000_000L + skewSeconds);
+  ClockReading now() {
+    long nanos = simulation.time.nanos();
+    return new ClockReading(
+        nanos, LedgerSimulation.START_SECONDS + nanos / 1_000_000_000L + clockSkewSeconds);
   }
 
   void begin(FakeCall call) {
@@ -85,53 +86,56 @@
     run(() -> ledger.begin(call.attempt, call.deadlineNanos, now()));
   }
 
-  void callerGone(FakeCall call) {
-    call.callerGone = true;
-    run(() -> ledger.handle(call.attempt.nonce(), new KeyedEvent.CallerGone(), now()));
+  void disconnectCaller(FakeCall call) {
+    call.callerDisconnected = true;
+    run(
+        () ->
+            ledger.handle(call.attempt.nonce(), new KeyedRequestEvent.CallerDisconnected(), now()));
   }
 
   @Override
   public void read(int shard) {
-    world.store.read(shard, storeAnswer(shard));
+    simulation.store.read(shard, storeResponseHandler(shard));
   }
 
   @Override
   public void write(int shard, String version, JsonNode content) {
-    world.store.write(shard, version, content, storeAnswer(shard));
+    simulation.store.write(shard, version, content, storeResponseHandler(shard));
   }
 
-  private Consumer<ShardEvent> storeAnswer(int shard) {
+  private Consumer<ShardEvent> storeResponseHandler(int shard) {
     return event -> run(() -> ledger.handle(shard, event, now()));
   }
 
   @Override
-  public void wake(int shard, long atNanos) {
-    Duration wait = Duration.ofNanos(atNanos - world.time.nanos());
-    Runnable task = () -> run(() -> ledger.handle(shard, new ShardEvent.Woken(), now()));
-    TimerSubscription old = wakes.put(shard, world.time.schedule(wait, task));
+  public void setShardTimer(int shard, long atNanos) {
+    Duration wait = Duration.ofNanos(atNanos - simulation.time.nanos());
+    Runnable task = () -> run(() -> ledger.handle(shard, new ShardEvent.TimerFired(), now()));
+    TimerSubscription old = shardTimers.put(shard, simulation.time.schedule(wait, task));
     if (old != null) {
       old.cancel();
     }
   }
 
   @Override
-  public void setTimer(String nonce, KeyedTimer timer, long atNanos) {
-    Duration wait = Duration.ofNanos(atNanos - world.time.nanos());
-    world.time.schedule(
-        wait, () -> run(() -> ledger.handle(nonce, new KeyedEvent.TimerFired(timer), now())));
+  public void setRequestTimer(String nonce, KeyedRequestTimer timer, long atNanos) {
+    Duration wait = Duration.ofNanos(atNanos - simulation.time.nanos());
+    simulation.time.schedule(
+        wait,
+        () -> run(() -> ledger.handle(nonce, new KeyedRequestEvent.TimerFired(timer), now())));
   }
 
   @Override
-  public void reply(String nonce, KeyedReply reply) {
+  public void respond(String nonce, KeyedResponse reply) {
     FakeCall call = calls.get(nonce);
     if (call != null) {
-      call.replied(reply);
+      call.recordResponse(reply);
     }
   }
 
   @Override
   public void send(HostId to, LedgerMessage message) {
-    world.deliver(this, to, message);
+    simulation.deliver(this, to, message);
   }
 
   /** The claim right before sending can come late, and a pause can come between it and sending. */
@@ -141,37 +145,40 @@
     if (call == null) {
       throw new AssertionError("dispatch of an unknown attempt");
     }
-    call.dispatches++;
-    world.time.schedule(Duration.ofMillis(random.nextInt(5)), () -> run(() -> claim(call)));
+    call.dispatchCount++;
+    simulation.time.schedule(
+        Duration.ofMillis(random.nextInt(5)), () -> run(() -> claimDispatch(call)));
   }
 
-  private void claim(FakeCall call) {
-    if (call.callerGone || world.time.nanos() >= call.deadlineNanos) {
-      ended(call, new RunOutcome.NotSent());
+  private void claimDispatch(FakeCall call) {
+    if (call.callerDisconnected || simulation.time.nanos() >= call.deadlineNanos) {
+      endDispatch(call, new DispatchOutcome.NotSent());
       return;
     }
-    world.time.schedule(Duration.ofMillis(random.nextInt(5)), () -> run(() -> sendToApp(call)));
+    simulation.time.schedule(
+        Duration.ofMillis(random.nextInt(5)), () -> run(() -> sendToApplication(call)));
   }
 
-  private void sendToApp(FakeCall call) {
+  private void sendToApplication(FakeCall call) {
     switch (random.nextInt(10)) {
-      case 0 -> ended(call, new RunOutcome.NotSent());
+      case 0 -> endDispatch(call, new DispatchOutcome.NotSent());
       case 1 -> {
-        ended(call, new RunOutcome.Unknown());
-        world.time.schedule(
-            Duration.ofMillis(random.nextInt(60_000)), () -> world.app.run(call.attempt));
+        endDispatch(call, new DispatchOutcome.Unknown());
+        simulation.time.schedule(
+            Duration.ofMillis(random.nextInt(60_000)),
+            () -> simulation.application.run(call.attempt));
       }
       default ->
-          world.time.schedule(
+          simulation.time.schedule(
               Duration.ofMillis(random.nextInt(3_000)),
               () -> {
-                String answer = world.app.run(call.attempt);
-                run(() -> ended(call, new RunOutcome.Answered(200, answer)));
+                String answer = simulation.application.run(call.attempt);
+                run(() -> endDispatch(call, new DispatchOutcome.Completed(200, answer)));
               });
     }
   }
 
-  private void ended(FakeCall call, RunOutcome outcome) {
-    ledger.handle(call.attempt.nonce(), new KeyedEvent.RunEnded(outcome), now());
+  private void endDispatch(FakeCall call, DispatchOutcome outcome) {
+    ledger.handle(call.attempt.nonce(), new KeyedRequestEvent.DispatchEnded(outcome), now());
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
@@ -18,14 +18,14 @@
 
   private final VirtualTimerService time;
   private final RandomGenerator random;
-  private final Map<Integer, Stored> objects = new HashMap<>();
+  private final Map<Integer, StoredObject> objects = new HashMap<>();
   private long lastVersion;
-  private long downUntil;
-  private long slowUntil;
+  private long downUntilNanos;
+  private long slowUntilNanos;
   private final Consumer<JsonNode> onApplied;
   private boolean faulty = true;
 
-  record Stored(String version, @Nullable JsonNode content) {}
+  record StoredObject(String version, @Nullable JsonNode content) {}
 
   FakeStore(VirtualTimerService time, RandomGenerator random, Consumer<JsonNode> onApplied) {
     this.onApplied = onApplied;
@@ -33,97 +33,97 @@
     this.random = random;
   }
 
-  void goDown(Duration duration) {
-    downUntil = time.nanos() + duration.toNanos();
+  void startOutage(Duration duration) {
+    downUntilNanos = time.nanos() + duration.toNanos();
   }
 
-  void goSlow(Duration duration) {
-    slowUntil = time.nanos() + duration.toNanos();
+  void startSlowdown(Duration duration) {
+    slowUntilNanos = time.nanos() + duration.toNanos();
   }
 
-  void heal() {
+  void stopFaults() {
     faulty = false;
-    downUntil = 0;
-    slowUntil = 0;
+    downUntilNanos = 0;
+    slowUntilNanos = 0;
   }
 
-  Stored object(int shard) {
-    return objects.getOrDefault(shard, new Stored("", null));
+  StoredObject object(int shard) {
+    return objects.getOrDefault(shard, new StoredObject("", null));
   }
 
   void read(int shard, Consumer<ShardEvent> result) {
-    OneAnswer answer = new OneAnswer(result);
-    time.schedule(CLIENT_TIMEOUT, () -> answer.give(new ShardEvent.ReadFailed()));
+    FirstResponse answer = new FirstResponse(result);
+    time.schedule(CLIENT_TIMEOUT, () -> answer.deliver(new ShardEvent.ReadFailed()));
     time.schedule(
         delay(),
         () -> {
-          Stored s = object(shard);
+          StoredObject s = object(shard);
           if (isDown()) {
-            answer.give(new ShardEvent.ReadFailed());
-          } else if (!lost()) {
+            answer.deliver(new ShardEvent.ReadFailed());
+          } else if (!loseResponse()) {
             time.schedule(
-                delay(), () -> answer.give(new ShardEvent.ReadFinished(s.version, s.content)));
+                delay(), () -> answer.deliver(new ShardEvent.ReadFinished(s.version, s.content)));
           }
         });
   }
 
   void write(int shard, String version, JsonNode content, Consumer<ShardEvent> result) {
-    OneAnswer answer = new OneAnswer(result);
+    FirstResponse answer = new FirstResponse(result);
     if (isDown() && random.nextBoolean()) {
-      time.schedule(delay(), () -> answer.give(new ShardEvent.WriteRefused(false, 0)));
+      time.schedule(delay(), () -> answer.deliver(new ShardEvent.WriteRefused(false, 0)));
       return;
     }
-    time.schedule(CLIENT_TIMEOUT, () -> answer.give(new ShardEvent.WriteUnknown()));
+    time.schedule(CLIENT_TIMEOUT, () -> answer.deliver(new ShardEvent.WriteUnknown()));
     boolean late = faulty && random.nextInt(6) == 0;
     int lateMillis = random.nextBoolean() ? 6_000 : 90_000;
     Duration sendDelay = late ? Duration.ofMillis(random.nextInt(lateMillis)) : delay();
     time.schedule(sendDelay, () -> apply(shard, version, content, answer));
   }
 
-  private void apply(int shard, String version, JsonNode content, OneAnswer answer) {
+  private void apply(int shard, String version, JsonNode content, FirstResponse answer) {
     if (isDown()) {
       return; // neither applied nor answered
     }
     boolean matches = object(shard).version.equals(version);
     if (matches) {
-      objects.put(shard, new Stored(Long.toString(++lastVersion), content));
+      objects.put(shard, new StoredObject(Long.toString(++lastVersion), content));
       onApplied.accept(content);
     }
     String stored = object(shard).version;
-    if (!lost()) {
+    if (!loseResponse()) {
       time.schedule(
           delay(),
           () ->
-              answer.give(
+              answer.deliver(
                   matches ? new ShardEvent.WriteStored(stored) : new ShardEvent.WriteConflicted()));
     }
   }
 
   private boolean isDown() {
-    return time.nanos() < downUntil;
+    return time.nanos() < downUntilNanos;
   }
 
-  private boolean lost() {
+  private boolean loseResponse() {
     return faulty && random.nextInt(8) == 0;
   }
 
   private Duration delay() {
-    int millis = time.nanos() < slowUntil ? 3_000 : 30;
+    int millis = time.nanos() < slowUntilNanos ? 3_000 : 30;
     return Duration.ofMillis(1 + random.nextInt(millis));
   }
 
   /** Passes on the first answer only. */
-  private static final class OneAnswer {
+  private static final class FirstResponse {
     private final Consumer<ShardEvent> result;
-    private boolean given;
+    private boolean delivered;
 
-    OneAnswer(Consumer<ShardEvent> result) {
+    FirstResponse(Consumer<ShardEvent> result) {
       this.result = result;
     }
 
-    void give(ShardEvent event) {
-      if (!given) {
-        given = true;
+    void deliver(ShardEvent event) {
+      if (!delivered) {
+        delivered = true;
         result.accept(event);
       }
     }
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerScheduleTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerScheduleTest.java
@@ -15,21 +15,21 @@
   private static final int SEEDS = 600;
 
   @Test
-  void everyKeyRunsAtMostOnceAndEveryCallerLearnsTheTruth() {
+  void everyKeyRunsAtMostOnceAndEveryResponseIsCorrect() {
     long first = Long.getLong("ledger.seed", 0);
     long count = Long.getLong("ledger.seeds", Long.getLong("ledger.seed") == null ? SEEDS : 1);
     Set<Class<?>> replyKinds = new HashSet<>();
     for (long seed = first; seed < first + count; seed++) {
-      new LedgerWorld(seed, replyKinds).run();
+      new LedgerSimulation(seed, replyKinds).run();
     }
     if (count >= SEEDS) { // else the schedules would prove nothing about the missing replies
       assertThat(replyKinds)
           .containsExactly(
-              KeyedReply.Ran.class,
-              KeyedReply.Recorded.class,
-              KeyedReply.NotRun.class,
-              KeyedReply.InProgress.class,
-              KeyedReply.OutcomeUnknown.class);
+              KeyedResponse.Ran.class,
+              KeyedResponse.Recorded.class,
+              KeyedResponse.NotRun.class,
+              KeyedResponse.InProgress.class,
+              KeyedResponse.OutcomeUnknown.class);
     }
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerShardTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerShardTest.java
@@ -13,28 +13,29 @@
 /** Guards against records that are lost, grow beyond the object's limit or expire too early. */
 class LedgerShardTest {
   private static final Duration RETENTION = Duration.ofHours(24);
-  private static final long NOW = 1_800_000_000L;
+  private static final long NOW_SECONDS = 1_800_000_000L;
 
   @Test
-  void shardSurvivesItsJsonForm() {
-    LedgerShard shard = shard(record("a", RecordState.STARTED, NOW), record("b", NOW));
+  void shardIsUnchangedByEncodingAndDecoding() {
+    LedgerShard shard =
+        shard(record("a", RecordState.STARTED, NOW_SECONDS), record("b", NOW_SECONDS));
     ShardEditor editor = new ShardEditor(shard);
-    editor.compact(NOW + 3_600, LedgerLimits.KEEP_FULL, RETENTION);
+    editor.compact(NOW_SECONDS + 3_600, LedgerLimits.FULL_RECORD_RETENTION, RETENTION);
     LedgerShard compacted = editor.build();
-    assertThat(compacted.recent()).hasSize(1);
-    assertThat(compacted.older()).hasSize(1);
+    assertThat(compacted.fullRecords()).hasSize(1);
+    assertThat(compacted.compactRecords()).hasSize(1);
     assertThat(LedgerCodec.decode(LedgerCodec.encode(compacted))).isEqualTo(compacted);
     assertThat(LedgerCodec.decode(LedgerCodec.encode(shard))).isEqualTo(shard);
   }
 
   @Test
   void compactRecordTakesFortyBytesInTheObject() {
-    String text = CompactRecord.of(record("a", NOW)).encode();
+    String text = CompactRecord.of(record("a", NOW_SECONDS)).encode();
     assertThat("\"" + text + "\",").hasLength(40);
   }
 
   @Test
-  void estimatedSizeIsNeverBelowTheRealOne() {
+  void maxEncodedBytesIsAnUpperBound() {
     LedgerRecord longest =
         new LedgerRecord(
             key("a"),
@@ -43,32 +44,34 @@
             "f".repeat(32),
             "h".repeat(63),
             Long.MAX_VALUE,
-            NOW,
-            NOW,
+            NOW_SECONDS,
+            NOW_SECONDS,
             599,
             "\"\u0001\u00e9".repeat(400));
-    LedgerShard shard = shard(longest, record("b", NOW));
+    LedgerShard shard = shard(longest, record("b", NOW_SECONDS));
     int real = LedgerCodec.encode(shard).toString().getBytes(StandardCharsets.UTF_8).length;
-    assertThat(shard.encodedBytes()).isAtLeast(real);
+    assertThat(shard.maxEncodedBytes()).isAtLeast(real);
   }
 
   @Test
-  void finishedRecordsExpireAfterTheRetentionAndStartedOnesNever() {
+  void finishedRecordsExpireAfterTheRetentionAndStartedRecordsNever() {
     ShardEditor editor =
         new ShardEditor(
             shard(
-                record("a", RecordState.STARTED, NOW),
-                record("b", NOW),
-                record("c", RecordState.CANCELLED, NOW)));
-    editor.compact(NOW + RETENTION.toSeconds(), LedgerLimits.KEEP_FULL, RETENTION);
-    assertThat(editor.build().older().keySet()).containsExactly(key("b"));
-    editor.compact(NOW + RETENTION.toSeconds() + 1, LedgerLimits.KEEP_FULL, RETENTION);
-    assertThat(editor.build().older()).isEmpty();
-    assertThat(editor.build().recent().keySet()).containsExactly(key("a"));
+                record("a", RecordState.STARTED, NOW_SECONDS),
+                record("b", NOW_SECONDS),
+                record("c", RecordState.CANCELLED, NOW_SECONDS)));
+    editor.compact(
+        NOW_SECONDS + RETENTION.toSeconds(), LedgerLimits.FULL_RECORD_RETENTION, RETENTION);
+    assertThat(editor.build().compactRecords().keySet()).containsExactly(key("b"));
+    editor.compact(
+        NOW_SECONDS + RETENTION.toSeconds() + 1, LedgerLimits.FULL_RECORD_RETENTION, RETENTION);
+    assertThat(editor.build().compactRecords()).isEmpty();
+    assertThat(editor.build().fullRecords().keySet()).containsExactly(key("a"));
   }
 
   @Test
-  void otherFormatIsNotRead() {
+  void otherFormatVersionIsRejected() {
     assertThrows(
         IllegalArgumentException.class,
         () -> LedgerCodec.decode(JsonNodeFactory.instance.objectNode().put("format", 2)));
@@ -80,9 +83,9 @@
     assertThat(KeyAge.createdSeconds(key)).hasValue(0x01890a5dac96L / 1000);
     assertThat(KeyAge.createdSeconds("01890a5d-ac96-474b-bcce-b302099a8057")).isEmpty();
     long created = 0x01890a5dac96L / 1000;
-    assertThat(KeyAge.expired(key, RETENTION, created + RETENTION.toSeconds())).isFalse();
-    assertThat(KeyAge.expired(key, RETENTION, created + RETENTION.toSeconds() + 1)).isTrue();
-    assertThat(KeyAge.expired("order-17", RETENTION, Long.MAX_VALUE)).isFalse();
+    assertThat(KeyAge.isExpired(key, RETENTION, created + RETENTION.toSeconds())).isFalse();
+    assertThat(KeyAge.isExpired(key, RETENTION, created + RETENTION.toSeconds() + 1)).isTrue();
+    assertThat(KeyAge.isExpired("order-17", RETENTION, Long.MAX_VALUE)).isFalse();
   }
 
   private static LedgerShard shard(LedgerRecord... records) {
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerWorld.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerSimulation.java
@@ -21,33 +21,33 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 
 /** One seeded schedule: nodes, object service, application and callers in virtual time. */
-final class LedgerWorld {
+final class LedgerSimulation {
   static final long START_SECONDS = 1_800_000_000L;
   private static final int NODES = 3;
   private static final int KEYS = 5;
   private static final int SHARD = 7;
-  private static final int FAULT_MILLIS = 120_000;
-  private static final Duration SETTLE = Duration.ofMinutes(8);
+  private static final int FAULT_PHASE_MILLIS = 120_000;
+  private static final Duration SETTLE_TIME = Duration.ofMinutes(8);
 
   final VirtualTimerService time = new VirtualTimerService();
   final FakeStore store;
-  final FakeApplication app = new FakeApplication();
+  final FakeApplication application = new FakeApplication();
   private final long seed;
   private final RandomGenerator random;
   private final List<FakeNode> nodes = new ArrayList<>();
   private final List<FakeCall> calls = new ArrayList<>();
   private final List<LedgerKey> keys = new ArrayList<>();
-  private final Set<Class<?>> replyKinds;
-  private final Set<String> lostAnswers = new HashSet<>();
-  private final Set<String> forwarded = new HashSet<>();
-  private long incarnations;
+  private final Set<Class<?>> responseTypes;
+  private final Set<String> lostStartResponses = new HashSet<>();
+  private final Set<String> forwardedStarts = new HashSet<>();
+  private long lastIncarnation;
   private boolean faulty = true;
 
-  LedgerWorld(long seed, Set<Class<?>> replyKinds) {
+  LedgerSimulation(long seed, Set<Class<?>> replyKinds) {
     this.seed = seed;
-    this.replyKinds = replyKinds;
+    this.responseTypes = replyKinds;
     random = new SplittableRandom(seed);
-    store = new FakeStore(time, random, this::checkApplied);
+    store = new FakeStore(time, random, this::checkStartRecords);
     for (int i = 0; keys.size() < KEYS; i++) {
       LedgerKey key = LedgerKey.of(new WorkspaceId("w"), "key-" + i);
       if (key.shard() == SHARD) {
@@ -63,11 +63,11 @@
   void run() {
     scheduleCalls();
     scheduleFaults();
-    time.advance(Duration.ofMillis(FAULT_MILLIS));
-    heal();
-    time.advance(SETTLE);
+    time.advance(Duration.ofMillis(FAULT_PHASE_MILLIS));
+    stopFaults();
+    time.advance(SETTLE_TIME);
     if (seed % 3 == 0) {
-      time.advance(LedgerLimits.KEEP_FULL.plus(Duration.ofMinutes(5)));
+      time.advance(LedgerLimits.FULL_RECORD_RETENTION.plus(Duration.ofMinutes(5)));
     }
     repeatEveryKey();
     checkCalls();
@@ -77,21 +77,22 @@
     for (int i = 0; i < 16; i++) {
       LedgerKey key = keys.get(random.nextInt(KEYS));
       int node = random.nextInt(NODES);
-      time.schedule(within(FAULT_MILLIS), () -> call(key, node, deadline()));
+      time.schedule(randomDuration(FAULT_PHASE_MILLIS), () -> call(key, node, randomDeadline()));
       if (random.nextInt(3) == 0) { // the caller repeats at once, at another node
-        time.schedule(within(FAULT_MILLIS), () -> twoCalls(key, node, (node + 1) % NODES));
+        time.schedule(
+            randomDuration(FAULT_PHASE_MILLIS), () -> callTwoNodes(key, node, (node + 1) % NODES));
       }
     }
   }
 
-  private void twoCalls(LedgerKey key, int first, int second) {
-    call(key, first, deadline());
-    call(key, second, deadline());
+  private void callTwoNodes(LedgerKey key, int first, int second) {
+    call(key, first, randomDeadline());
+    call(key, second, randomDeadline());
   }
 
   /** Short deadlines often pass while a write is not settled. */
-  private Duration deadline() {
-    return random.nextBoolean() ? within(3_000) : within(40_000);
+  private Duration randomDeadline() {
+    return random.nextBoolean() ? randomDuration(3_000) : randomDuration(40_000);
   }
 
   private FakeCall call(LedgerKey key, int node, Duration deadline) {
@@ -102,30 +103,32 @@
     calls.add(call);
     n.begin(call);
     if (faulty && random.nextInt(3) == 0) {
-      time.schedule(within(4_000), () -> n.callerGone(call));
+      time.schedule(randomDuration(4_000), () -> n.disconnectCaller(call));
     }
     return call;
   }
 
   private void scheduleFaults() {
     for (int i = 0; i < 4; i++) {
-      time.schedule(within(FAULT_MILLIS), () -> store.goDown(within(20_000)));
-      time.schedule(within(FAULT_MILLIS), () -> store.goSlow(within(20_000)));
+      time.schedule(
+          randomDuration(FAULT_PHASE_MILLIS), () -> store.startOutage(randomDuration(20_000)));
+      time.schedule(
+          randomDuration(FAULT_PHASE_MILLIS), () -> store.startSlowdown(randomDuration(20_000)));
     }
     for (int i = 0; i < 30; i++) {
       int node = random.nextInt(NODES);
-      time.schedule(within(FAULT_MILLIS), () -> changeMembers(nodes.get(node)));
+      time.schedule(randomDuration(FAULT_PHASE_MILLIS), () -> randomizeMembers(nodes.get(node)));
     }
   }
 
   /** After any step of a node: sometimes a pause of any length, sometimes death and a restart. */
-  void maybeDisturb(FakeNode node) {
+  void maybeInjectFault(FakeNode node) {
     if (!faulty) {
       return;
     }
     int dice = random.nextInt(200);
     if (dice < 6) {
-      node.pause(random.nextBoolean() ? within(2_000) : within(200_000));
+      node.pause(random.nextBoolean() ? randomDuration(2_000) : randomDuration(200_000));
     } else if (dice == 6 && nodes.contains(node)) {
       node.kill();
       int index = nodes.indexOf(node);
@@ -134,8 +137,8 @@
   }
 
   private FakeNode newNode(int index) {
-    FakeNode node = new FakeNode(this, new HostId("n" + index), ++incarnations, random);
-    changeMembers(node);
+    FakeNode node = new FakeNode(this, new HostId("n" + index), ++lastIncarnation, random);
+    randomizeMembers(node);
     return node;
   }
 
@@ -143,7 +146,7 @@
    * Nodes disagree about who is alive, so that a shard has several owners at once; a node that
    * knows itself only writes directly.
    */
-  private void changeMembers(FakeNode node) {
+  private void randomizeMembers(FakeNode node) {
     List<Member> members = new ArrayList<>();
     for (int i = 0; i < NODES; i++) {
       HostId host = new HostId("n" + i);
@@ -158,14 +161,15 @@
   void deliver(FakeNode from, HostId to, LedgerMessage message) {
     int copies = !faulty || random.nextInt(8) > 0 ? 1 : random.nextInt(3);
     if (message instanceof LedgerMessage.LedgerStart m) {
-      forwarded.add(m.nonce());
+      forwardedStarts.add(m.nonce());
     }
     if (copies == 0 && message instanceof LedgerMessage.LedgerStarted m) {
-      lostAnswers.add(m.askedNonce());
+      lostStartResponses.add(m.askedNonce());
     }
     for (int i = 0; i < copies; i++) {
-      Duration delay = i == 0 && random.nextInt(10) > 0 ? within(20) : within(50_000);
-      time.schedule(faulty ? delay : within(20), () -> receive(from, to, message));
+      Duration delay =
+          i == 0 && random.nextInt(10) > 0 ? randomDuration(20) : randomDuration(50_000);
+      time.schedule(faulty ? delay : randomDuration(20), () -> receive(from, to, message));
     }
   }
 
@@ -177,9 +181,9 @@
     }
   }
 
-  private void heal() {
+  private void stopFaults() {
     faulty = false;
-    store.heal();
+    store.stopFaults();
   }
 
   /** A repeat after the finish record was stored gets the recorded answer and does not run. */
@@ -187,20 +191,21 @@
     for (LedgerKey key : keys) {
       boolean finished =
           calls.stream()
-              .anyMatch(c -> c.attempt.key().equals(key) && c.reply instanceof KeyedReply.Ran);
+              .anyMatch(
+                  c -> c.attempt.key().equals(key) && c.response instanceof KeyedResponse.Ran);
       FakeCall repeat = call(key, random.nextInt(NODES), Duration.ofSeconds(60));
       time.advance(Duration.ofMinutes(2));
-      checkNotStuck(key, repeat);
+      checkUnusedKeyRuns(key, repeat);
       if (finished) {
-        message("repeat of finished key is answered").that(repeat.reply).isNotNull();
-        message("repeat of finished key").that(repeat.dispatches).isEqualTo(0);
-        if (repeat.reply instanceof KeyedReply.Recorded recorded) {
-          String expected = recorded.answer() == null ? null : app.answer(key);
-          message("recorded answer").that(recorded.answer()).isEqualTo(expected);
-          message("recorded status").that(recorded.status()).isEqualTo(200);
+        assertForSeed("repeat of finished key is answered").that(repeat.response).isNotNull();
+        assertForSeed("repeat of finished key").that(repeat.dispatchCount).isEqualTo(0);
+        if (repeat.response instanceof KeyedResponse.Recorded recorded) {
+          String expected = recorded.response() == null ? null : application.response(key);
+          assertForSeed("recorded answer").that(recorded.response()).isEqualTo(expected);
+          assertForSeed("recorded status").that(recorded.status()).isEqualTo(200);
         } else {
-          message("reply to repeat " + repeat.reply + " though finish record was stored")
-              .that(finishLost(key))
+          assertForSeed("reply to repeat " + repeat.response + " though finish record was stored")
+              .that(nodeDiedAfterRun(key))
               .isTrue();
         }
       }
@@ -211,47 +216,56 @@
    * A key is free for the repeat when no attempt was dispatched, no node died, and every starter
    * learned of its record.
    */
-  private void checkNotStuck(LedgerKey key, FakeCall repeat) {
+  private void checkUnusedKeyRuns(LedgerKey key, FakeCall repeat) {
     boolean used =
         calls.stream()
             .filter(c -> c.attempt.key().equals(key) && c != repeat)
             .anyMatch(
-                c -> c.dispatches > 0 || c.nodeDied || lostAnswers.contains(c.attempt.nonce()));
+                c ->
+                    c.dispatchCount > 0
+                        || c.nodeDied
+                        || lostStartResponses.contains(c.attempt.nonce()));
     if (!used) {
-      message("free key: " + repeat.reply).that(repeat.dispatches).isEqualTo(1);
+      assertForSeed("free key: " + repeat.response).that(repeat.dispatchCount).isEqualTo(1);
     }
   }
 
   /** Whether the node that ran the key died before its finish record was stored. */
-  private boolean finishLost(LedgerKey key) {
+  private boolean nodeDiedAfterRun(LedgerKey key) {
     return calls.stream()
-        .anyMatch(c -> c.attempt.key().equals(key) && app.ran(c.attempt) && c.nodeDied);
+        .anyMatch(
+            c ->
+                c.attempt.key().equals(key) && application.executedNonces(c.attempt) && c.nodeDied);
   }
 
   private void checkCalls() {
     for (LedgerKey key : keys) {
-      message("runs of " + key).that(app.runs(key)).isAtMost(1);
+      assertForSeed("runs of " + key).that(application.runs(key)).isAtMost(1);
     }
     for (FakeCall call : calls) {
-      if (call.reply != null) {
-        replyKinds.add(call.reply.getClass());
+      if (call.response != null) {
+        responseTypes.add(call.response.getClass());
       }
-      String what = call.attempt.nonce() + " replied " + call.reply;
-      message("dispatches of " + what).that(call.dispatches).isAtMost(1);
-      message("answers of " + what).that(call.replies).isAtMost(1);
+      String what = call.attempt.nonce() + " replied " + call.response;
+      assertForSeed("dispatches of " + what).that(call.dispatchCount).isAtMost(1);
+      assertForSeed("answers of " + what).that(call.responseCount).isAtMost(1);
       if (!call.nodeDied) {
-        message("answers of " + what).that(call.replies).isEqualTo(1);
+        assertForSeed("answers of " + what).that(call.responseCount).isEqualTo(1);
       }
-      if (call.reply instanceof KeyedReply.NotRun) {
-        message("run of refused " + what).that(app.ran(call.attempt)).isFalse();
-        message("record of refused " + what).that(holdsKey(call)).isFalse();
+      if (call.response instanceof KeyedResponse.NotRun) {
+        assertForSeed("run of refused " + what)
+            .that(application.executedNonces(call.attempt))
+            .isFalse();
+        assertForSeed("record of refused " + what).that(leavesStartRecord(call)).isFalse();
       }
-      if (call.reply instanceof KeyedReply.Ran) {
-        message("run of answered " + what).that(app.ran(call.attempt)).isTrue();
+      if (call.response instanceof KeyedResponse.Ran) {
+        assertForSeed("run of answered " + what)
+            .that(application.executedNonces(call.attempt))
+            .isTrue();
       }
     }
     for (FakeNode node : nodes) {
-      message("node " + node.host + " has nothing open").that(node.ledger.idle()).isTrue();
+      assertForSeed("node " + node.host + " has nothing open").that(node.ledger.isIdle()).isTrue();
     }
   }
 
@@ -259,32 +273,34 @@
    * No write may hold the start record of a call that was refused before, unless a forwarded
    * message about it can come late.
    */
-  private void checkApplied(JsonNode content) {
+  private void checkStartRecords(JsonNode content) {
     for (JsonNode r : content.path("recent")) {
       String nonce = r.path("nonce").asText();
-      if (r.path("state").asText().equals("STARTED") && !forwarded.contains(nonce)) {
+      if (r.path("state").asText().equals("STARTED") && !forwardedStarts.contains(nonce)) {
         boolean refused =
             calls.stream()
                 .anyMatch(
-                    c -> c.attempt.nonce().equals(nonce) && c.reply instanceof KeyedReply.NotRun);
-        message("start record after the refusal of " + nonce).that(refused).isFalse();
+                    c ->
+                        c.attempt.nonce().equals(nonce)
+                            && c.response instanceof KeyedResponse.NotRun);
+        assertForSeed("start record after the refusal of " + nonce).that(refused).isFalse();
       }
     }
   }
 
   /** Whether a start record of the attempt is left that its living starter could have cancelled. */
-  private boolean holdsKey(FakeCall call) {
+  private boolean leavesStartRecord(FakeCall call) {
     String started = "\"state\":\"STARTED\",\"nonce\":\"" + call.attempt.nonce() + "\"";
     return !call.nodeDied
-        && !lostAnswers.contains(call.attempt.nonce())
+        && !lostStartResponses.contains(call.attempt.nonce())
         && store.object(SHARD).toString().contains(started);
   }
 
-  private Duration within(int millis) {
+  private Duration randomDuration(int millis) {
     return Duration.ofMillis(random.nextInt(millis));
   }
 
-  private StandardSubjectBuilder message(String what) {
+  private StandardSubjectBuilder assertForSeed(String what) {
     return assertWithMessage("seed %s: %s", seed, what);
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
@@ -11,14 +11,14 @@
 
 /** Guards against writes above the shard's budget and starts that a full shard can't finish. */
 class ShardWriterTest {
-  private static final long NOW = 1_800_000_000L;
+  private static final long NOW_SECONDS = 1_800_000_000L;
   private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
   private final List<ShardCommand> commands = new ArrayList<>();
-  private int versions;
+  private int lastVersion;
 
   @Test
-  void writesAfterTheBurstKeepToTheBudgetOfTheShard() {
+  void writesAfterTheBurstKeepToTheRateLimitOfTheShard() {
     ShardWriter writer = new ShardWriter(LedgerLimits.of(Duration.ofHours(24), 256));
     handle(writer, new ShardEvent.StartRequested(attempt(0)), 0);
     handle(writer, new ShardEvent.ReadFinished("", null), 0);
@@ -27,10 +27,10 @@
       long now = i * SECOND / 10;
       if (lastIsWrite()) {
         writes++;
-        handle(writer, new ShardEvent.WriteStored("v" + versions++), now);
+        handle(writer, new ShardEvent.WriteStored("v" + lastVersion++), now);
       }
       handle(writer, new ShardEvent.StartRequested(attempt(i)), now);
-      handle(writer, new ShardEvent.Woken(), now);
+      handle(writer, new ShardEvent.TimerFired(), now);
     }
     assertThat(writes).isAtLeast(12);
     assertThat(writes).isAtMost(14);
@@ -47,7 +47,7 @@
     handle(writer, new ShardEvent.WriteStored("2"), 0);
     commands.clear();
     handle(writer, new ShardEvent.StartRequested(attempt(2)), 0);
-    ShardCommand.StartAnswer refusal = (ShardCommand.StartAnswer) commands.get(0);
+    ShardCommand.StartResponse refusal = (ShardCommand.StartResponse) commands.get(0);
     assertThat(((StartResult.NotStarted) refusal.result()).code())
         .isEqualTo(ErrorCode.STORE_UNAVAILABLE);
     commands.clear();
@@ -58,11 +58,12 @@
             first.key(), first.nonce(), RecordState.FINISHED, 200, "x".repeat(1_400)),
         0);
     handle(writer, new ShardEvent.WriteStored("3"), 0);
-    assertThat(commands).contains(new ShardCommand.FinishAnswer(first.key(), first.nonce(), true));
+    assertThat(commands)
+        .contains(new ShardCommand.FinishResponse(first.key(), first.nonce(), true));
   }
 
   @Test
-  void unknownWriteIsWrittenAgainOnTheVersionJustReadBeforeTheStartIsAnswered() {
+  void unknownWriteIsRepeatedOnTheVersionJustReadBeforeTheCancelResponse() {
     ShardWriter writer = new ShardWriter(LedgerLimits.of(Duration.ofHours(24), 256));
     handle(writer, new ShardEvent.StartRequested(attempt(0)), 0);
     handle(writer, new ShardEvent.ReadFinished("", null), 0);
@@ -70,24 +71,25 @@
     handle(writer, new ShardEvent.CancelRequested(attempt(0), false), 0);
     handle(writer, new ShardEvent.ReadFinished("", null), 0);
     assertThat(lastIsWrite()).isTrue();
-    assertThat(answers()).isEmpty();
+    assertThat(responses()).isEmpty();
     handle(writer, new ShardEvent.WriteStored("1"), 0);
     handle(writer, new ShardEvent.ReadFinished("1", null), 0);
-    assertThat(answers()).containsExactly(new ShardCommand.CancelAnswer(attempt(0)));
+    assertThat(responses()).containsExactly(new ShardCommand.CancelResponse(attempt(0)));
   }
 
   private void handle(ShardWriter writer, ShardEvent event, long nowNanos) {
-    writer.handle(event, nowNanos, NOW, commands::add);
+    writer.handle(event, nowNanos, NOW_SECONDS, commands::add);
   }
 
   private boolean lastIsWrite() {
     return commands.get(commands.size() - 1) instanceof ShardCommand.Write;
   }
 
-  private List<ShardCommand> answers() {
+  private List<ShardCommand> responses() {
     return commands.stream()
         .filter(
-            c -> c instanceof ShardCommand.StartAnswer || c instanceof ShardCommand.CancelAnswer)
+            c ->
+                c instanceof ShardCommand.StartResponse || c instanceof ShardCommand.CancelResponse)
         .toList();
   }
 
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderLeaseTest.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderLeaseTest.java
@@ -16,76 +16,76 @@
   private final OrderLease lease = new OrderLease(TIMES, "me");
 
   @Test
-  void freeLeaseIsTakenAndItsVersionIsTheToken() {
+  void freeLeaseIsAcquiredAndItsVersionIsTheFencingToken() {
     acquire(0);
-    assertThat(lease.tokenForSending(0)).hasValue(5);
+    assertThat(lease.fencingTokenForSending(0)).hasValue(5);
   }
 
   @Test
-  void holderThatWasPausedSendsNothingEvenIfNobodyTookOver() {
+  void pausedHolderSendsNothingEvenWithoutATakeover() {
     acquire(0);
-    long enough = TIMES.term().minus(TIMES.sendTimeout()).minus(TIMES.margin()).toNanos();
-    assertThat(lease.tokenForSending(enough - 1)).hasValue(5);
-    assertThat(lease.tokenForSending(enough)).isEmpty();
+    long enough = TIMES.term().minus(TIMES.sendTimeout()).minus(TIMES.safetyMargin()).toNanos();
+    assertThat(lease.fencingTokenForSending(enough - 1)).hasValue(5);
+    assertThat(lease.fencingTokenForSending(enough)).isEmpty();
   }
 
   @Test
-  void successorWaitsForTermAndMarginFromTheFirstSightOfTheVersion() {
-    handle(new LeaseEvent.Wanted(true), 0);
+  void successorWaitsForTermAndMarginAfterItFirstReadTheVersion() {
+    handle(new LeaseEvent.CandidacyChanged(true), 0);
     handle(new LeaseEvent.ReadFinished(4, "other"), 1);
-    long free = 1 + TIMES.term().plus(TIMES.margin()).toNanos();
-    handle(new LeaseEvent.Woken(), free - 1);
+    long free = 1 + TIMES.term().plus(TIMES.safetyMargin()).toNanos();
+    handle(new LeaseEvent.TimerFired(), free - 1);
     handle(new LeaseEvent.ReadFinished(4, "other"), free - 1);
     assertThat(writes()).isEmpty();
-    handle(new LeaseEvent.Woken(), free);
+    handle(new LeaseEvent.TimerFired(), free);
     handle(new LeaseEvent.ReadFinished(4, "other"), free);
     assertThat(writes()).containsExactly(new LeaseCommand.Write(4, "me"));
   }
 
   @Test
-  void renewalOfTheHolderStartsTheSuccessorsWaitAgain() {
-    handle(new LeaseEvent.Wanted(true), 0);
+  void renewalByTheHolderRestartsTheSuccessorsWait() {
+    handle(new LeaseEvent.CandidacyChanged(true), 0);
     handle(new LeaseEvent.ReadFinished(4, "other"), 0);
-    handle(new LeaseEvent.Woken(), 10 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 10 * SECOND);
     handle(new LeaseEvent.ReadFinished(5, "other"), 10 * SECOND);
-    handle(new LeaseEvent.Woken(), 20 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 20 * SECOND);
     handle(new LeaseEvent.ReadFinished(5, "other"), 20 * SECOND);
     assertThat(writes()).isEmpty();
   }
 
   @Test
-  void lostAnswerOfARenewalThatWasNotAppliedDoesNotExtendTheTerm() {
+  void lostResponseToAnUnappliedRenewalDoesNotExtendTheTerm() {
     acquire(0);
-    handle(new LeaseEvent.Woken(), 6 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 6 * SECOND);
     handle(new LeaseEvent.WriteFailed(), 7 * SECOND);
-    handle(new LeaseEvent.Woken(), 8 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 8 * SECOND);
     handle(new LeaseEvent.ReadFinished(5, "me"), 8 * SECOND);
-    assertThat(lease.tokenForSending(9 * SECOND)).isEmpty();
+    assertThat(lease.fencingTokenForSending(9 * SECOND)).isEmpty();
   }
 
   @Test
-  void lostAnswerOfARenewalThatWasAppliedExtendsTheTermFromItsSending() {
+  void lostResponseToAnAppliedRenewalExtendsTheTermFromItsSending() {
     acquire(0);
-    handle(new LeaseEvent.Woken(), 6 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 6 * SECOND);
     handle(new LeaseEvent.WriteFailed(), 7 * SECOND);
-    handle(new LeaseEvent.Woken(), 8 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 8 * SECOND);
     handle(new LeaseEvent.ReadFinished(6, "me"), 8 * SECOND);
-    assertThat(lease.tokenForSending(14 * SECOND)).hasValue(6);
-    assertThat(lease.tokenForSending(15 * SECOND)).isEmpty();
+    assertThat(lease.fencingTokenForSending(14 * SECOND)).hasValue(6);
+    assertThat(lease.fencingTokenForSending(15 * SECOND)).isEmpty();
   }
 
   @Test
-  void holderWhoseLeaseWasTakenOverStopsAtOnce() {
+  void holderStopsSendingOnceAnotherNodeHasTheLease() {
     acquire(0);
-    handle(new LeaseEvent.Woken(), 6 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 6 * SECOND);
     handle(new LeaseEvent.WriteFailed(), 6 * SECOND);
-    handle(new LeaseEvent.Woken(), 8 * SECOND);
+    handle(new LeaseEvent.TimerFired(), 8 * SECOND);
     handle(new LeaseEvent.ReadFinished(9, "other"), 8 * SECOND);
-    assertThat(lease.tokenForSending(8 * SECOND)).isEmpty();
+    assertThat(lease.fencingTokenForSending(8 * SECOND)).isEmpty();
   }
 
   private void acquire(long nowNanos) {
-    handle(new LeaseEvent.Wanted(true), nowNanos);
+    handle(new LeaseEvent.CandidacyChanged(true), nowNanos);
     handle(new LeaseEvent.ReadFinished(0, ""), nowNanos);
     handle(new LeaseEvent.WriteStored(5), nowNanos);
     assertThat(commands).contains(new LeaseCommand.Acquired());
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderScheduleTest.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderScheduleTest.java
@@ -12,12 +12,12 @@
   private static final int SEEDS = 300;
 
   @Test
-  void holdersFollowEachOtherAndEveryEngineReachesItsGoal() {
+  void holdersNeverOverlapAndEveryEngineReachesItsDesiredState() {
     long first = Long.getLong("orders.seed", 0);
     long count = Long.getLong("orders.seed") == null ? SEEDS : 1;
     int takeovers = 0;
     for (long seed = first; seed < first + count; seed++) {
-      OrderWorld world = new OrderWorld(seed);
+      OrderSimulation world = new OrderSimulation(seed);
       world.run();
       takeovers += world.takeovers();
     }
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderWorld.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
@@ -16,24 +16,24 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 
 /** One seeded schedule: three nodes, one lease object and six engines in virtual time. */
-final class OrderWorld {
-  private static final int FAULT_MILLIS = 240_000;
-  private static final Duration SETTLE = Duration.ofMinutes(6);
+final class OrderSimulation {
+  private static final int FAULT_PHASE_MILLIS = 240_000;
+  private static final Duration SETTLE_TIME = Duration.ofMinutes(6);
 
   private final VirtualTimerService time = new VirtualTimerService();
   private final long seed;
   private final RandomGenerator random;
   private final List<Node> nodes = new ArrayList<>();
   private final Map<UpstreamId, Engine> engines = new TreeMap<>();
-  private final List<EngineGoal> goals = new ArrayList<>();
+  private final List<DesiredEngineState> desiredStates = new ArrayList<>();
   private long leaseVersion;
   private String leaseHolder = "";
-  private long lastToken;
+  private long lastFencingToken;
   private String lastSender = "";
   private int takeovers;
   private boolean faulty = true;
 
-  OrderWorld(long seed) {
+  OrderSimulation(long seed) {
     this.seed = seed;
     random = new SplittableRandom(seed);
     for (int i = 0; i < 6; i++) {
@@ -41,15 +41,15 @@
       UpstreamRole role = i < 3 ? UpstreamRole.PREFILL : UpstreamRole.DECODE;
       engines.put(id, new Engine(role, i % 2 == 0));
     }
-    setGoals(0, "w2");
+    setDesiredStates(0, "w2");
   }
 
-  private void setGoals(int firstPrefill, String weights) {
-    goals.clear();
+  private void setDesiredStates(int firstPrefill, String weights) {
+    desiredStates.clear();
     int i = firstPrefill;
     for (UpstreamId id : engines.keySet()) {
       UpstreamRole role = i++ % 2 == 0 ? UpstreamRole.PREFILL : UpstreamRole.DECODE;
-      goals.add(new EngineGoal(id, "p", role, weights));
+      desiredStates.add(new DesiredEngineState(id, "p", role, weights));
     }
   }
 
@@ -62,15 +62,15 @@
     for (int i = 0; i < 3; i++) {
       startNode("n" + i);
     }
-    time.advance(Duration.ofMillis(FAULT_MILLIS / 2));
-    setGoals(1, "w3");
+    time.advance(Duration.ofMillis(FAULT_PHASE_MILLIS / 2));
+    setDesiredStates(1, "w3");
     for (Node node : nodes) {
-      node.run(() -> node.handle(new DeskEvent.GoalsChanged(goals, 2, 2)));
+      node.run(() -> node.handle(new OrderManagerEvent.DesiredStatesChanged(desiredStates, 2, 2)));
     }
-    time.advance(Duration.ofMillis(FAULT_MILLIS / 2));
+    time.advance(Duration.ofMillis(FAULT_PHASE_MILLIS / 2));
     faulty = false;
-    time.advance(SETTLE);
-    for (EngineGoal goal : goals) {
+    time.advance(SETTLE_TIME);
+    for (DesiredEngineState goal : desiredStates) {
       Engine engine = engine(goal.engine());
       assertWithMessage("seed %s: role of %s", seed, goal.engine())
           .that(engine.role)
@@ -84,9 +84,11 @@
   private void startNode(String name) {
     Node node = new Node(name);
     nodes.add(node);
-    node.handle(new DeskEvent.GoalsChanged(goals, 2, 1));
-    node.handle(new DeskEvent.OfLease(new LeaseEvent.Wanted(true)));
-    time.every(Duration.ofSeconds(3), () -> node.run(() -> node.handle(new DeskEvent.ReadAgain())));
+    node.handle(new OrderManagerEvent.DesiredStatesChanged(desiredStates, 2, 1));
+    node.handle(new OrderManagerEvent.LeaseEventReceived(new LeaseEvent.CandidacyChanged(true)));
+    time.every(
+        Duration.ofSeconds(3),
+        () -> node.run(() -> node.handle(new OrderManagerEvent.RefreshRequested())));
   }
 
   private Engine engine(UpstreamId id) {
@@ -97,11 +99,11 @@
     return engine;
   }
 
-  private Duration within(int millis) {
+  private Duration randomDuration(int millis) {
     return Duration.ofMillis(random.nextInt(millis));
   }
 
-  private boolean fault(int oneIn) {
+  private boolean injectFault(int oneIn) {
     return faulty && random.nextInt(oneIn) == 0;
   }
 
@@ -111,7 +113,7 @@
     private UpstreamRole role;
     private String weights = "w1";
     private boolean loading;
-    private int held = 3;
+    private int openRequests = 3;
     private long highestToken;
 
     Engine(UpstreamRole role, boolean checksFencing) {
@@ -119,93 +121,96 @@
       this.checksFencing = checksFencing;
     }
 
-    EngineView view(UpstreamId id) {
-      return new EngineView(id, role, weights, loading, held, 4 - held);
+    ReportedEngineState reportedState(UpstreamId id) {
+      return new ReportedEngineState(id, role, weights, loading, openRequests, 4 - openRequests);
     }
   }
 
   /** A node that can be paused; what arrives meanwhile waits. */
   private final class Node {
     private final String name;
-    private final OrderDesk desk;
-    private final Queue<Runnable> waiting = new ArrayDeque<>();
-    private int pauses;
+    private final OrderManager manager;
+    private final Queue<Runnable> deferredTasks = new ArrayDeque<>();
+    private int activePauses;
 
     Node(String name) {
       this.name = name;
-      desk = new OrderDesk(LeaseTimes.DEFAULT, name);
+      manager = new OrderManager(LeaseTimes.DEFAULT, name);
     }
 
     void run(Runnable task) {
-      if (pauses > 0) {
-        waiting.add(task);
+      if (activePauses > 0) {
+        deferredTasks.add(task);
         return;
       }
       task.run();
-      if (fault(60)) {
-        pauses++;
-        time.schedule(within(60_000), this::resume);
+      if (injectFault(60)) {
+        activePauses++;
+        time.schedule(randomDuration(60_000), this::resume);
       }
     }
 
     private void resume() {
-      pauses--;
-      List<Runnable> tasks = new ArrayList<>(waiting);
-      waiting.clear();
+      activePauses--;
+      List<Runnable> tasks = new ArrayList<>(deferredTasks);
+      deferredTasks.clear();
       tasks.forEach(this::run);
     }
 
-    void handle(DeskEvent event) {
-      List<DeskCommand> commands = new ArrayList<>();
-      desk.handle(event, time.nanos(), commands::add);
+    void handle(OrderManagerEvent event) {
+      List<OrderManagerCommand> commands = new ArrayList<>();
+      manager.handle(event, time.nanos(), commands::add);
       commands.forEach(this::execute);
     }
 
-    private void later(Duration delay, DeskEvent event) {
+    private void scheduleEvent(Duration delay, OrderManagerEvent event) {
       time.schedule(delay, () -> run(() -> handle(event)));
     }
 
-    private void execute(DeskCommand command) {
+    private void execute(OrderManagerCommand command) {
       switch (command) {
-        case DeskCommand.OfLease c -> lease(c.command());
-        case DeskCommand.ReadEngine c ->
-            later(
-                within(100),
-                fault(20)
-                    ? new DeskEvent.EngineReadFailed(c.engine())
-                    : new DeskEvent.EngineRead(engine(c.engine()).view(c.engine())));
-        case DeskCommand.Send c -> send(c);
+        case OrderManagerCommand.ExecuteLeaseCommand c -> executeLeaseCommand(c.command());
+        case OrderManagerCommand.ReadEngine c ->
+            scheduleEvent(
+                randomDuration(100),
+                injectFault(20)
+                    ? new OrderManagerEvent.EngineReadFailed(c.engine())
+                    : new OrderManagerEvent.EngineRead(
+                        engine(c.engine()).reportedState(c.engine())));
+        case OrderManagerCommand.SendOrder c -> sendOrder(c);
       }
     }
 
-    private void lease(LeaseCommand command) {
+    private void executeLeaseCommand(LeaseCommand command) {
       switch (command) {
         case LeaseCommand.Read c ->
             time.schedule(
-                within(100),
+                randomDuration(100),
                 () ->
-                    lease(
-                        fault(10)
+                    executeLeaseCommand(
+                        injectFault(10)
                             ? new LeaseEvent.ReadFailed()
                             : new LeaseEvent.ReadFinished(leaseVersion, leaseHolder)));
         case LeaseCommand.Write c -> writeLease(c);
-        case LeaseCommand.WakeAt c ->
+        case LeaseCommand.SetTimer c ->
             time.schedule(
-                Duration.ofNanos(c.atNanos() - time.nanos()), () -> lease(new LeaseEvent.Woken()));
+                Duration.ofNanos(c.atNanos() - time.nanos()),
+                () -> executeLeaseCommand(new LeaseEvent.TimerFired()));
         case LeaseCommand.Acquired c -> throw new AssertionError("handled by the desk");
       }
     }
 
-    private void lease(LeaseEvent event) {
-      run(() -> handle(new DeskEvent.OfLease(event)));
+    private void executeLeaseCommand(LeaseEvent event) {
+      run(() -> handle(new OrderManagerEvent.LeaseEventReceived(event)));
     }
 
     /** Applied after the delay, even when the sender has given up long before. */
     private void writeLease(LeaseCommand.Write c) {
-      boolean lost = fault(5);
-      Duration delay = lost && random.nextBoolean() ? within(20_000) : within(500);
+      boolean lost = injectFault(5);
+      Duration delay = lost && random.nextBoolean() ? randomDuration(20_000) : randomDuration(500);
       if (lost) {
-        time.schedule(Duration.ofSeconds(1), () -> lease(new LeaseEvent.WriteFailed()));
+        time.schedule(
+            Duration.ofSeconds(1), () -> executeLeaseCommand(new LeaseEvent.WriteFailed()));
       }
       time.schedule(
           delay,
@@ -216,7 +221,7 @@
               leaseHolder = c.holder();
             }
             if (!lost) {
-              lease(
+              executeLeaseCommand(
                   applied
                       ? new LeaseEvent.WriteStored(leaseVersion)
                       : new LeaseEvent.WriteFailed());
@@ -225,35 +230,36 @@
     }
 
     /** The order can arrive long after its sender gave up, for example because it was paused. */
-    private void send(DeskCommand.Send c) {
+    private void sendOrder(OrderManagerCommand.SendOrder c) {
       assertWithMessage("seed %s: token of %s after %s", seed, name, lastSender)
           .that(c.fencingToken())
-          .isAtLeast(lastToken);
+          .isAtLeast(lastFencingToken);
       if (!lastSender.isEmpty() && !name.equals(lastSender)) {
         takeovers++;
       }
-      lastToken = c.fencingToken();
+      lastFencingToken = c.fencingToken();
       lastSender = name;
-      time.schedule(fault(15) ? within(40_000) : within(200), () -> arrive(c));
-      later(Duration.ofSeconds(1), new DeskEvent.OrderEnded(c.order().engine()));
+      time.schedule(
+          injectFault(15) ? randomDuration(40_000) : randomDuration(200), () -> applyOrder(c));
+      scheduleEvent(Duration.ofSeconds(1), new OrderManagerEvent.OrderEnded(c.order().engine()));
     }
 
-    private void arrive(DeskCommand.Send c) {
+    private void applyOrder(OrderManagerCommand.SendOrder c) {
       Engine e = engine(c.order().engine());
       if (e.checksFencing && c.fencingToken() < e.highestToken) {
         return;
       }
       e.highestToken = Math.max(e.highestToken, c.fencingToken());
       switch (c.order().kind()) {
-        case DRAIN -> time.schedule(within(5_000), () -> e.held = 0);
+        case DRAIN -> time.schedule(randomDuration(5_000), () -> e.openRequests = 0);
         case SET_ROLE -> {
           e.role = c.order().role();
-          e.held = random.nextInt(3);
+          e.openRequests = random.nextInt(3);
         }
         case LOAD_WEIGHTS -> {
           e.loading = true;
           time.schedule(
-              within(20_000),
+              randomDuration(20_000),
               () -> {
                 e.loading = false;
                 e.weights = c.order().weights();
--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import org.mustardlatch.core.ledger.KeyedPolicy;
+import org.mustardlatch.core.ledger.KeyedRequestTimeouts;
 import org.mustardlatch.core.ledger.LedgerLimits;
 import org.mustardlatch.core.manifest.LedgerPolicy;
 import org.mustardlatch.core.membership.MemberList;
@@ -93,7 +93,10 @@
     ledger =
         new LedgerService(
             new LedgerSettings(
-                settings.host(), Optional.empty(), this::ledgerLimits, KeyedPolicy.DEFAULT),
+                settings.host(),
+                Optional.empty(),
+                this::ledgerLimits,
+                KeyedRequestTimeouts.DEFAULT),
             peers,
             store,
             Optional.of(peers.service()::send),
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedWork.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedWork.java
@@ -15,8 +15,8 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
-import org.mustardlatch.core.ledger.KeyedReply;
-import org.mustardlatch.core.ledger.RunOutcome;
+import org.mustardlatch.core.ledger.DispatchOutcome;
+import org.mustardlatch.core.ledger.KeyedResponse;
 import org.mustardlatch.core.manifest.Route;
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
@@ -71,32 +71,32 @@
     return answer(await(call.reply()), own, () -> lookUp(route, upstream, key));
   }
 
-  private static Answered answer(KeyedReply reply, @Nullable Answered own, LookUp lookUp) {
+  private static Answered answer(KeyedResponse reply, @Nullable Answered own, LookUp lookUp) {
     return switch (reply) {
-      case KeyedReply.Ran r -> {
+      case KeyedResponse.Ran r -> {
         if (own == null) {
           throw unknown();
         }
         yield own;
       }
-      case KeyedReply.Recorded r -> recorded(r);
-      case KeyedReply.NotRun r ->
+      case KeyedResponse.Recorded r -> recorded(r);
+      case KeyedResponse.NotRun r ->
           throw new RefusedException(r.code(), "not run: " + r.code().wireName(), r.retryAfter());
-      case KeyedReply.InProgress r ->
+      case KeyedResponse.InProgress r ->
           throw new RefusedException(
               ErrorCode.IN_PROGRESS, "the first call with this key is in progress", r.retryAfter());
-      case KeyedReply.OutcomeUnknown r -> lookUp.find().orElseThrow(KeyedWork::unknown);
-      case KeyedReply.KeyReused r ->
+      case KeyedResponse.OutcomeUnknown r -> lookUp.find().orElseThrow(KeyedWork::unknown);
+      case KeyedResponse.KeyReused r ->
           throw new MustardlatchException(
               ErrorCode.IDEMPOTENCY_KEY_REUSED, "the key was used for another request");
-      case KeyedReply.KeyExpired r ->
+      case KeyedResponse.KeyExpired r ->
           throw new MustardlatchException(
               ErrorCode.IDEMPOTENCY_KEY_EXPIRED, "the key is older than the retention");
     };
   }
 
-  private static Answered recorded(KeyedReply.Recorded recorded) {
-    String text = recorded.answer();
+  private static Answered recorded(KeyedResponse.Recorded recorded) {
+    String text = recorded.response();
     if (text != null) {
       return RecordedAnswer.decode(recorded.status(), text);
     }
@@ -107,11 +107,11 @@
         ByteString.encodeUtf8(note));
   }
 
-  private static RunOutcome outcome(ApplicationResult result) {
+  private static DispatchOutcome outcome(ApplicationResult result) {
     return switch (result) {
-      case Answered a -> new RunOutcome.Answered(a.status(), RecordedAnswer.encode(a));
-      case ApplicationResult.NotSent n -> new RunOutcome.NotSent();
-      case ApplicationResult.Unknown u -> new RunOutcome.Unknown();
+      case Answered a -> new DispatchOutcome.Completed(a.status(), RecordedAnswer.encode(a));
+      case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
+      case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
   }
 
@@ -145,7 +145,8 @@
     }
   }
 
-  private static KeyedReply await(CompletableFuture<KeyedReply> reply) throws InterruptedException {
+  private static KeyedResponse await(CompletableFuture<KeyedResponse> reply)
+      throws InterruptedException {
     try {
       return reply.get();
     } catch (ExecutionException e) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedAnswer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedAnswer.java
@@ -19,7 +19,7 @@
 
   /** Returns the text, or null when the answer is too long for a record or no UTF-8 text. */
   static @Nullable String encode(Answered answer) {
-    if (answer.body().size() > LedgerLimits.MAX_ANSWER_CHARS) {
+    if (answer.body().size() > LedgerLimits.MAX_RESPONSE_CHARS) {
       return null;
     }
     ObjectNode frame = JsonNodeFactory.instance.objectNode();
@@ -32,7 +32,7 @@
       return null;
     }
     String text = frame.toString();
-    return text.length() > LedgerLimits.MAX_ANSWER_CHARS ? null : text;
+    return text.length() > LedgerLimits.MAX_RESPONSE_CHARS ? null : text;
   }
 
   /** Returns the answer that a text was made of. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedCall.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiConsumer;
-import org.mustardlatch.core.ledger.KeyedEvent;
-import org.mustardlatch.core.ledger.KeyedReply;
-import org.mustardlatch.core.ledger.RunOutcome;
+import org.mustardlatch.core.ledger.DispatchOutcome;
+import org.mustardlatch.core.ledger.KeyedRequestEvent;
+import org.mustardlatch.core.ledger.KeyedResponse;
 
 /**
  * One keyed request from begin to finish. Safe for use by several threads; no method blocks.
@@ -16,10 +16,10 @@
  */
 public final class KeyedCall {
   private final CompletableFuture<Boolean> mayDispatch = new CompletableFuture<>();
-  private final CompletableFuture<KeyedReply> reply = new CompletableFuture<>();
+  private final CompletableFuture<KeyedResponse> reply = new CompletableFuture<>();
   private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
   private final long deadlineNanos;
-  private final BiConsumer<KeyedCall, KeyedEvent> events;
+  private final BiConsumer<KeyedCall, KeyedRequestEvent> events;
 
   private enum State {
     OPEN,
@@ -27,7 +27,7 @@
     CALLER_GONE
   }
 
-  KeyedCall(long deadlineNanos, BiConsumer<KeyedCall, KeyedEvent> events) {
+  KeyedCall(long deadlineNanos, BiConsumer<KeyedCall, KeyedRequestEvent> events) {
     this.deadlineNanos = deadlineNanos;
     this.events = events;
   }
@@ -41,7 +41,7 @@
   }
 
   /** Completes once with the answer for the caller. Never completes exceptionally. */
-  public CompletableFuture<KeyedReply> reply() {
+  public CompletableFuture<KeyedResponse> reply() {
     return reply;
   }
 
@@ -62,7 +62,7 @@
    */
   public void callerGone() {
     if (state.compareAndSet(State.OPEN, State.CALLER_GONE)) {
-      events.accept(this, new KeyedEvent.CallerGone());
+      events.accept(this, new KeyedRequestEvent.CallerDisconnected());
     }
   }
 
@@ -73,11 +73,11 @@
    * @return the answer for the caller, the same as {@link #reply}
    * @throws IllegalStateException when the dispatch was not claimed
    */
-  public CompletableFuture<KeyedReply> finish(RunOutcome outcome) {
+  public CompletableFuture<KeyedResponse> finish(DispatchOutcome outcome) {
     if (state.get() != State.CLAIMED) {
       throw new IllegalStateException("finish without a claimed dispatch");
     }
-    events.accept(this, new KeyedEvent.RunEnded(outcome));
+    events.accept(this, new KeyedRequestEvent.DispatchEnded(outcome));
     return reply;
   }
 
@@ -85,7 +85,7 @@
     return state.get() == State.CALLER_GONE;
   }
 
-  void completeReply(KeyedReply value) {
+  void completeReply(KeyedResponse value) {
     mayDispatch.complete(false);
     reply.complete(value);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -13,15 +13,15 @@
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.ledger.Attempt;
+import org.mustardlatch.core.ledger.ClockReading;
+import org.mustardlatch.core.ledger.DispatchOutcome;
 import org.mustardlatch.core.ledger.KeyAge;
-import org.mustardlatch.core.ledger.KeyedEvent;
-import org.mustardlatch.core.ledger.KeyedReply;
-import org.mustardlatch.core.ledger.KeyedTimer;
+import org.mustardlatch.core.ledger.KeyedRequestEvent;
+import org.mustardlatch.core.ledger.KeyedRequestTimer;
+import org.mustardlatch.core.ledger.KeyedResponse;
 import org.mustardlatch.core.ledger.LedgerKey;
 import org.mustardlatch.core.ledger.LedgerNode;
 import org.mustardlatch.core.ledger.LedgerOutput;
-import org.mustardlatch.core.ledger.Now;
-import org.mustardlatch.core.ledger.RunOutcome;
 import org.mustardlatch.core.ledger.ShardEvent;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.WorkspaceId;
@@ -107,8 +107,8 @@
     String nonce = attempt.nonce();
     KeyedCall call =
         new KeyedCall(deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
-    if (KeyAge.expired(key, settings.limits().get().retention(), now().wallSeconds())) {
-      call.completeReply(new KeyedReply.KeyExpired());
+    if (KeyAge.isExpired(key, settings.limits().get().retention(), now().wallClockSeconds())) {
+      call.completeReply(new KeyedResponse.KeyExpired());
       return call;
     }
     loop.execute(
@@ -144,22 +144,25 @@
   }
 
   private void checkDrained(CompletableFuture<Boolean> drained, long endNanos) {
-    if (node.idle() || loop.nanos() - endNanos >= 0) {
-      drained.complete(node.idle());
+    if (node.isIdle() || loop.nanos() - endNanos >= 0) {
+      drained.complete(node.isIdle());
     } else {
       loop.schedule(DRAIN_CHECK, () -> checkDrained(drained, endNanos));
     }
   }
 
-  private void handle(String nonce, KeyedCall call, KeyedEvent event) {
+  private void handle(String nonce, KeyedCall call, KeyedRequestEvent event) {
     // A caller that left between the permission to dispatch and its claim was not dispatched.
-    boolean unclaimed = event instanceof KeyedEvent.CallerGone && call.mayDispatch().getNow(false);
+    boolean unclaimed =
+        event instanceof KeyedRequestEvent.CallerDisconnected && call.mayDispatch().getNow(false);
     node.handle(
-        nonce, unclaimed ? new KeyedEvent.RunEnded(new RunOutcome.NotSent()) : event, now());
+        nonce,
+        unclaimed ? new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent()) : event,
+        now());
   }
 
-  private Now now() {
-    return new Now(loop.nanos(), wallClock.instant().getEpochSecond());
+  private ClockReading now() {
+    return new ClockReading(loop.nanos(), wallClock.instant().getEpochSecond());
   }
 
   private String randomHex() {
@@ -185,30 +188,31 @@
     }
 
     @Override
-    public void wake(int shard, long atNanos) {
+    public void setShardTimer(int shard, long atNanos) {
       @Nullable TimerSubscription old =
           wakes.put(
               shard,
               loop.schedule(
                   Duration.ofNanos(atNanos - loop.nanos()),
-                  () -> node.handle(shard, new ShardEvent.Woken(), now())));
+                  () -> node.handle(shard, new ShardEvent.TimerFired(), now())));
       if (old != null) {
         old.cancel();
       }
     }
 
     @Override
-    public void setTimer(String nonce, KeyedTimer timer, long atNanos) {
+    public void setRequestTimer(String nonce, KeyedRequestTimer timer, long atNanos) {
       loop.schedule(
           Duration.ofNanos(atNanos - loop.nanos()),
-          () -> node.handle(nonce, new KeyedEvent.TimerFired(timer), now()));
+          () -> node.handle(nonce, new KeyedRequestEvent.TimerFired(timer), now()));
     }
 
     @Override
     public void dispatch(String nonce) {
       KeyedCall call = calls.get(nonce);
       if (call == null || call.callerIsGone()) {
-        KeyedEvent notSent = new KeyedEvent.RunEnded(new RunOutcome.NotSent());
+        KeyedRequestEvent notSent =
+            new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent());
         loop.execute(() -> node.handle(nonce, notSent, now()));
       } else {
         call.completeDispatch();
@@ -216,7 +220,7 @@
     }
 
     @Override
-    public void reply(String nonce, KeyedReply reply) {
+    public void respond(String nonce, KeyedResponse reply) {
       KeyedCall call = calls.remove(nonce);
       if (call != null) {
         call.completeReply(reply);
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.mustardlatch.core.ledger.KeyedPolicy;
+import org.mustardlatch.core.ledger.KeyedRequestTimeouts;
 import org.mustardlatch.core.ledger.LedgerLimits;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
@@ -20,4 +20,4 @@
     HostId self,
     Optional<RegionId> storeRegion,
     Supplier<LedgerLimits> limits,
-    KeyedPolicy policy) {}
+    KeyedRequestTimeouts policy) {}
--- a/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.mustardlatch.core.ledger.KeyedPolicy;
-import org.mustardlatch.core.ledger.KeyedReply;
+import org.mustardlatch.core.ledger.DispatchOutcome;
+import org.mustardlatch.core.ledger.KeyedRequestTimeouts;
+import org.mustardlatch.core.ledger.KeyedResponse;
 import org.mustardlatch.core.ledger.LedgerKey;
 import org.mustardlatch.core.ledger.LedgerLimits;
-import org.mustardlatch.core.ledger.RunOutcome;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.WorkspaceId;
@@ -68,19 +68,19 @@
 
   @Test
   void repeatAtAnotherNodeGetsTheRecordedAnswerAndDoesNotRun() throws Exception {
-    assertThat(run(a, "k", "d", new RunOutcome.Answered(201, "done")))
-        .isEqualTo(new KeyedReply.Ran());
+    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(201, "done")))
+        .isEqualTo(new KeyedResponse.Ran());
     KeyedCall repeat = begin(b, "k", "d");
     assertThat(get(repeat.mayDispatch())).isFalse();
-    assertThat(get(repeat.reply())).isEqualTo(new KeyedReply.Recorded(201, "done"));
+    assertThat(get(repeat.reply())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
   }
 
   @Test
   void repeatWhileTheFirstIsRunningIsInProgressAndOtherContentIsReuse() throws Exception {
     KeyedCall first = begin(a, "k", "d");
     assertThat(get(first.mayDispatch())).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isInstanceOf(KeyedReply.InProgress.class);
-    assertThat(get(begin(b, "k", "other").reply())).isEqualTo(new KeyedReply.KeyReused());
+    assertThat(get(begin(b, "k", "d").reply())).isInstanceOf(KeyedResponse.InProgress.class);
+    assertThat(get(begin(b, "k", "other").reply())).isEqualTo(new KeyedResponse.KeyReused());
   }
 
   @Test
@@ -90,17 +90,19 @@
     assertThat(get(call.mayDispatch())).isTrue();
     assertThat(call.claimDispatch()).isTrue();
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(get(call.finish(new RunOutcome.Answered(200, "x")))).isEqualTo(new KeyedReply.Ran());
+    assertThat(get(call.finish(new DispatchOutcome.Completed(200, "x"))))
+        .isEqualTo(new KeyedResponse.Ran());
     assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedReply.Recorded(200, "x"));
+    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.Recorded(200, "x"));
   }
 
   @Test
   void outageRefusesAsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
     standin.setFaults(ObjectServiceFaults.DOWN);
-    assertThat(get(begin(a, "k", "d").reply())).isInstanceOf(KeyedReply.NotRun.class);
+    assertThat(get(begin(a, "k", "d").reply())).isInstanceOf(KeyedResponse.NotRun.class);
     standin.setFaults(ObjectServiceFaults.NONE);
-    assertThat(run(b, "k", "d", new RunOutcome.Answered(200, "x"))).isEqualTo(new KeyedReply.Ran());
+    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+        .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
@@ -109,28 +111,31 @@
     assertThat(get(first.mayDispatch())).isTrue();
     first.callerGone();
     assertThat(first.claimDispatch()).isFalse();
-    assertThat(get(first.reply())).isInstanceOf(KeyedReply.NotRun.class);
-    assertThat(run(b, "k", "d", new RunOutcome.Answered(200, "x"))).isEqualTo(new KeyedReply.Ran());
+    assertThat(get(first.reply())).isInstanceOf(KeyedResponse.NotRun.class);
+    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+        .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void requestThatWasNotSentIsNotRunAndFreesTheKey() throws Exception {
-    assertThat(run(a, "k", "d", new RunOutcome.NotSent())).isInstanceOf(KeyedReply.NotRun.class);
-    assertThat(run(a, "k", "d", new RunOutcome.Answered(200, "x"))).isEqualTo(new KeyedReply.Ran());
+    assertThat(run(a, "k", "d", new DispatchOutcome.NotSent()))
+        .isInstanceOf(KeyedResponse.NotRun.class);
+    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(200, "x")))
+        .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void unknownOutcomeStaysUnknownForRepeats() throws Exception {
-    assertThat(run(a, "k", "d", new RunOutcome.Unknown()))
-        .isEqualTo(new KeyedReply.OutcomeUnknown());
+    assertThat(run(a, "k", "d", new DispatchOutcome.Unknown()))
+        .isEqualTo(new KeyedResponse.OutcomeUnknown());
     assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedReply.OutcomeUnknown());
+    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.OutcomeUnknown());
   }
 
   @Test
   void oldUuidOfVersionSevenIsRefusedAsExpired() throws Exception {
     assertThat(get(begin(a, "01890a5d-ac96-774b-bcce-b302099a8057", "d").reply()))
-        .isEqualTo(new KeyedReply.KeyExpired());
+        .isEqualTo(new KeyedResponse.KeyExpired());
   }
 
   @Test
@@ -141,7 +146,7 @@
 
   @Test
   void startsOfTwoNodesShareTheWriteOfTheOwner() throws Exception {
-    KeyedPolicy patient = new KeyedPolicy(LONG, LONG, LONG);
+    KeyedRequestTimeouts patient = new KeyedRequestTimeouts(LONG, LONG, LONG);
     Map<HostId, LedgerService> nodes = new ConcurrentHashMap<>();
     List<LedgerService> both = new ArrayList<>();
     for (String name : List.of("a", "b")) {
@@ -161,7 +166,7 @@
 
   @Test
   void nodeWritesDirectlyWhenTheOwnerDoesNotAnswer() throws Exception {
-    KeyedPolicy hasty = new KeyedPolicy(Duration.ofMillis(50), LONG, LONG);
+    KeyedRequestTimeouts hasty = new KeyedRequestTimeouts(Duration.ofMillis(50), LONG, LONG);
     LedgerPeers silent = (to, message) -> {};
     startFortyOnOneShard(
         node("a", Optional.of(silent), hasty), node("b", Optional.of(silent), hasty));
@@ -186,8 +191,8 @@
     }
   }
 
-  private static KeyedReply run(LedgerService node, String key, String digest, RunOutcome outcome)
-      throws Exception {
+  private static KeyedResponse run(
+      LedgerService node, String key, String digest, DispatchOutcome outcome) throws Exception {
     KeyedCall call = begin(node, key, digest);
     assertThat(get(call.mayDispatch())).isTrue();
     assertThat(call.claimDispatch()).isTrue();
@@ -204,10 +209,11 @@
   }
 
   private LedgerService node(String name) {
-    return node(name, Optional.empty(), KeyedPolicy.DEFAULT);
+    return node(name, Optional.empty(), KeyedRequestTimeouts.DEFAULT);
   }
 
-  private LedgerService node(String name, Optional<LedgerPeers> peers, KeyedPolicy policy) {
+  private LedgerService node(
+      String name, Optional<LedgerPeers> peers, KeyedRequestTimeouts policy) {
     ObjectStoreClient client =
         new ObjectStoreClient(
             URI.create(standin.url()),
