--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
@@ -67,7 +67,7 @@
     switch (event) {
       case KeyedRequestEvent.Accepted e -> accepted(e.ownedByOtherNode(), nowNanos, out);
       case KeyedRequestEvent.StartResponseReceived e ->
-          startResponseReceived(e.writer(), e.result(), nowNanos, out);
+          startResponseReceived(e.source(), e.result(), nowNanos, out);
       case KeyedRequestEvent.CallerDisconnected e -> callerDisconnected(nowNanos, out);
       case KeyedRequestEvent.DispatchEnded e -> dispatchEnded(e.outcome(), nowNanos, out);
       case KeyedRequestEvent.FinishResponseReceived e -> finishResponseReceived(out);
@@ -100,7 +100,7 @@
   }
 
   private void startResponseReceived(
-      RecordWriter writer, StartResult result, long nowNanos, Consumer<KeyedRequestCommand> out) {
+      ResponseSource source, StartResult result, long nowNanos, Consumer<KeyedRequestCommand> out) {
     switch (result) {
       case StartResult.Started s -> started(nowNanos, out);
       case StartResult.Existing e -> {
@@ -109,7 +109,7 @@
           respond(responseForExisting(e), out);
         }
       }
-      case StartResult.NotStarted n -> notStarted(writer, n, nowNanos, out);
+      case StartResult.NotStarted n -> notStarted(source, n, nowNanos, out);
     }
   }
 
@@ -135,16 +135,16 @@
   }
 
   /**
-   * Handles the refusal of a start. The request ends as "not run" only after every writer that was
-   * asked refused, because any other one may still create the record.
+   * Handles the refusal of a start. The request ends as "not run" only after every writer that
+   * received the start refused it, because any other writer may still create the record.
    */
   private void notStarted(
-      RecordWriter writer,
+      ResponseSource source,
       StartResult.NotStarted result,
       long nowNanos,
       Consumer<KeyedRequestCommand> out) {
-    ownerRefused |= writer == RecordWriter.OWNER;
-    localWriterRefused |= writer == RecordWriter.LOCAL;
+    ownerRefused |= source == ResponseSource.OWNER;
+    localWriterRefused |= source == ResponseSource.LOCAL;
     boolean ownerCannotStart = !forwarded || ownerRefused;
     boolean localWriterCannotStart = !startedLocally || localWriterRefused;
     if (ownerCannotStart && localWriterCannotStart && !dispatched) {
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestEvent.java
@@ -12,9 +12,9 @@
   /**
    * A shard writer responded to the start.
    *
-   * @param writer the writer that responded
+   * @param source whether the owner or this node responded
    */
-  record StartResponseReceived(RecordWriter writer, StartResult result)
+  record StartResponseReceived(ResponseSource source, StartResult result)
       implements KeyedRequestEvent {}
 
   /** The caller closed its connection. */
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestTimeouts.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestTimeouts.java
@@ -15,8 +15,8 @@
     Duration forwardTimeout, Duration cancelTimeout, Duration finishTimeout) {
   /**
    * The default timeouts. A busy owner writes about every 0.9 s, so a shorter forward timeout would
-   * defeat group commit. The finish timeout is short because the caller needs the response of a
-   * request that ran more than the stored record.
+   * defeat group commit. The finish timeout is short, because returning the response of a request
+   * that ran matters more to its caller than a stored record.
    */
   public static final KeyedRequestTimeouts DEFAULT =
       new KeyedRequestTimeouts(
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
@@ -80,7 +80,7 @@
   }
 
   private static KeyedRequestEvent startResponseReceived(StartResult result) {
-    return new KeyedRequestEvent.StartResponseReceived(RecordWriter.OWNER, result);
+    return new KeyedRequestEvent.StartResponseReceived(ResponseSource.OWNER, result);
   }
 
   private static LedgerStarted startedMessage(
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
@@ -16,7 +16,7 @@
 
 /**
  * The ledger of one node: its keyed requests and its shard writers, which also write for other
- * nodes. Not thread-safe; the owner calls it on one thread.
+ * nodes. Not thread-safe; all calls must come from one thread.
  */
 public final class LedgerNode {
   private final HostId self;
@@ -62,7 +62,7 @@
    * Replaces the live nodes from which shard owners are chosen. Without live nodes, or if this node
    * is the owner of a shard, this node writes the records itself.
    *
-   * @param regionOfStore region of the object service; empty if not configured
+   * @param regionOfStore region of the object service; empty if unknown
    */
   public void setMembers(List<Member> members, Optional<RegionId> regionOfStore) {
     liveMembers = List.copyOf(members);
@@ -233,7 +233,7 @@
   private void deliverStartResponse(ShardCommand.StartResponse c) {
     Attempt attempt = c.attempt();
     KeyedRequestEvent event =
-        new KeyedRequestEvent.StartResponseReceived(RecordWriter.LOCAL, c.result());
+        new KeyedRequestEvent.StartResponseReceived(ResponseSource.LOCAL, c.result());
     if (attempt.nonce().startsWith(noncePrefix)) {
       queue.add(() -> handleStartResponse(attempt.key(), attempt.nonce(), event));
     } else if (!attempt.host().equals(self.value())) {
@@ -254,8 +254,8 @@
     if (requests.containsKey(nonce)) {
       handleRequestEvent(nonce, event);
     } else if (started && nonce.startsWith(noncePrefix)) {
-      Attempt cancelled = new Attempt(key, "-", nonce, self.value(), 0);
-      enqueueShardEvent(key, new ShardEvent.CancelRequested(cancelled, false));
+      Attempt attemptToCancel = new Attempt(key, "-", nonce, self.value(), 0);
+      enqueueShardEvent(key, new ShardEvent.CancelRequested(attemptToCancel, false));
     }
   }
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/RecordTransitions.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/RecordTransitions.java
@@ -84,25 +84,23 @@
   private static ChangeDecision cancel(
       PendingChange.Operation.Cancel operation, ShardEditor editor, long nowSeconds) {
     Attempt attempt = operation.attempt();
-    ShardCommand cancelResponse = new ShardCommand.CancelResponse(attempt);
+    ShardCommand response = new ShardCommand.CancelResponse(attempt);
     LedgerRecord found = editor.fullRecord(attempt.key());
     if (found != null && found.nonce().equals(attempt.nonce())) {
       if (found.state() != RecordState.STARTED) {
-        return ChangeDecision.provisional(
-            cancelResponse); // a paused owner may start it again later
+        return ChangeDecision.provisional(response); // a paused owner may have started it again
       }
       editor.put(found.withState(RecordState.CANCELLED, 0, null, nowSeconds));
-      return ChangeDecision.modified(cancelResponse);
+      return ChangeDecision.modified(response);
     }
     boolean keyIsFree =
         editor.compactRecord(attempt.key()) == null
             && (found == null || found.state() == RecordState.CANCELLED);
     if (!keyIsFree || !operation.createIfAbsent()) {
-      return ChangeDecision.provisional(
-          cancelResponse); // another node may have created it since the read
+      return ChangeDecision.provisional(response); // another node may have created it meanwhile
     }
     editor.put(newRecord(attempt, RecordState.CANCELLED, nowSeconds));
-    return ChangeDecision.modified(cancelResponse);
+    return ChangeDecision.modified(response);
   }
 
   private ChangeDecision finish(
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * The part of one node in the lease that allows its holder to send orders to engines.
+ * State machine of one node for the lease that permits its holder to send orders to engines.
  *
  * <p>A holder counts its term from the time just before it sent the write. A successor counts the
  * term from the time when it first read the version that the write created, and adds the safety
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Application that counts its runs. */
+/** Application that counts the runs of each key. */
 final class FakeApplication {
-  private final Map<LedgerKey, Integer> runs = new HashMap<>();
+  private final Map<LedgerKey, Integer> runCounts = new HashMap<>();
   private final Map<LedgerKey, String> responses = new HashMap<>();
   private final Set<String> executedNonces = new HashSet<>();
 
   String run(Attempt attempt) {
-    runs.merge(attempt.key(), 1, Integer::sum);
+    runCounts.merge(attempt.key(), 1, Integer::sum);
     executedNonces.add(attempt.nonce());
-    String answer = "answer to " + attempt.nonce();
-    responses.put(attempt.key(), answer);
-    return answer;
+    String response = "response to " + attempt.nonce();
+    responses.put(attempt.key(), response);
+    return response;
   }
 
   int runs(LedgerKey key) {
-    return runs.getOrDefault(key, 0);
+    return runCounts.getOrDefault(key, 0);
   }
 
-  boolean executedNonces(Attempt attempt) {
+  boolean hasRun(Attempt attempt) {
     return executedNonces.contains(attempt.nonce());
   }
 
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** One call of a caller and what became of it. */
+/** One call of a caller with its responses and dispatches. */
 final class FakeCall {
   final Attempt attempt;
   final long deadlineNanos;
@@ -17,8 +17,8 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  void recordResponse(KeyedResponse r) {
-    response = r;
+  void recordResponse(KeyedResponse newResponse) {
+    response = newResponse;
     responseCount++;
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
@@ -15,8 +15,8 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * One incarnation of a node. What arrives while it is paused is handled when it resumes; after its
- * death nothing is.
+ * One incarnation of a node. Tasks that arrive while it is paused run when it resumes; after its
+ * death no task runs.
  */
 final class FakeNode implements LedgerOutput {
   final HostId host;
@@ -31,8 +31,8 @@
   private int activePauses;
   private boolean dead;
 
-  FakeNode(LedgerSimulation world, HostId host, long incarnation, RandomGenerator random) {
-    this.simulation = world;
+  FakeNode(LedgerSimulation simulation, HostId host, long incarnation, RandomGenerator random) {
+    this.simulation = simulation;
     this.host = host;
     this.incarnation = incarnation;
     this.random = random;
@@ -126,10 +126,10 @@
   }
 
   @Override
-  public void respond(String nonce, KeyedResponse reply) {
+  public void respond(String nonce, KeyedResponse response) {
     FakeCall call = calls.get(nonce);
     if (call != null) {
-      call.recordResponse(reply);
+      call.recordResponse(response);
     }
   }
 
@@ -138,7 +138,10 @@
     simulation.deliver(this, to, message);
   }
 
-  /** The claim right before sending can come late, and a pause can come between it and sending. */
+  /**
+   * Simulates the claim just before the request is sent. The claim can be delayed, and a pause can
+   * occur between the claim and the sending.
+   */
   @Override
   public void dispatch(String nonce) {
     FakeCall call = calls.get(nonce);
@@ -172,8 +175,8 @@
           simulation.time.schedule(
               Duration.ofMillis(random.nextInt(3_000)),
               () -> {
-                String answer = simulation.application.run(call.attempt);
-                run(() -> endDispatch(call, new DispatchOutcome.Completed(200, answer)));
+                String response = simulation.application.run(call.attempt);
+                run(() -> endDispatch(call, new DispatchOutcome.Completed(200, response)));
               });
     }
   }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 
 /**
- * Object service in virtual time whose calls and answers are delayed, lost, refused and applied
- * late. A client gives up after one second, but what it sent may still be applied.
+ * Object service in virtual time that delays, loses and refuses calls and responses and applies
+ * writes late. A call times out after one second, but its write may still be applied afterwards.
  */
 final class FakeStore {
   private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(1);
@@ -52,50 +52,52 @@
   }
 
   void read(int shard, Consumer<ShardEvent> result) {
-    FirstResponse answer = new FirstResponse(result);
-    time.schedule(CLIENT_TIMEOUT, () -> answer.deliver(new ShardEvent.ReadFailed()));
+    FirstResponse response = new FirstResponse(result);
+    time.schedule(CLIENT_TIMEOUT, () -> response.deliver(new ShardEvent.ReadFailed()));
     time.schedule(
         delay(),
         () -> {
           StoredObject s = object(shard);
           if (isDown()) {
-            answer.deliver(new ShardEvent.ReadFailed());
+            response.deliver(new ShardEvent.ReadFailed());
           } else if (!loseResponse()) {
             time.schedule(
-                delay(), () -> answer.deliver(new ShardEvent.ReadFinished(s.version, s.content)));
+                delay(), () -> response.deliver(new ShardEvent.ReadFinished(s.version, s.content)));
           }
         });
   }
 
   void write(int shard, String version, JsonNode content, Consumer<ShardEvent> result) {
-    FirstResponse answer = new FirstResponse(result);
+    FirstResponse response = new FirstResponse(result);
     if (isDown() && random.nextBoolean()) {
-      time.schedule(delay(), () -> answer.deliver(new ShardEvent.WriteRefused(false, 0)));
+      time.schedule(delay(), () -> response.deliver(new ShardEvent.WriteRefused(false, 0)));
       return;
     }
-    time.schedule(CLIENT_TIMEOUT, () -> answer.deliver(new ShardEvent.WriteUnknown()));
+    time.schedule(CLIENT_TIMEOUT, () -> response.deliver(new ShardEvent.WriteUnknown()));
     boolean late = faulty && random.nextInt(6) == 0;
-    int lateMillis = random.nextBoolean() ? 6_000 : 90_000;
-    Duration sendDelay = late ? Duration.ofMillis(random.nextInt(lateMillis)) : delay();
-    time.schedule(sendDelay, () -> apply(shard, version, content, answer));
+    int maxLateMillis = random.nextBoolean() ? 6_000 : 90_000;
+    Duration sendDelay = late ? Duration.ofMillis(random.nextInt(maxLateMillis)) : delay();
+    time.schedule(sendDelay, () -> apply(shard, version, content, response));
   }
 
-  private void apply(int shard, String version, JsonNode content, FirstResponse answer) {
+  private void apply(int shard, String version, JsonNode content, FirstResponse response) {
     if (isDown()) {
-      return; // neither applied nor answered
+      return; // the write is neither applied nor gets a response
     }
-    boolean matches = object(shard).version.equals(version);
-    if (matches) {
+    boolean versionMatches = object(shard).version.equals(version);
+    if (versionMatches) {
       objects.put(shard, new StoredObject(Long.toString(++lastVersion), content));
       onApplied.accept(content);
     }
-    String stored = object(shard).version;
+    String currentVersion = object(shard).version;
     if (!loseResponse()) {
       time.schedule(
           delay(),
           () ->
-              answer.deliver(
-                  matches ? new ShardEvent.WriteStored(stored) : new ShardEvent.WriteConflicted()));
+              response.deliver(
+                  versionMatches
+                      ? new ShardEvent.WriteStored(currentVersion)
+                      : new ShardEvent.WriteConflicted()));
     }
   }
 
@@ -112,7 +114,7 @@
     return Duration.ofMillis(1 + random.nextInt(millis));
   }
 
-  /** Passes on the first answer only. */
+  /** Delivers only the first of several responses to a call. */
   private static final class FirstResponse {
     private final Consumer<ShardEvent> result;
     private boolean delivered;
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerScheduleTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerScheduleTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against second runs, false "not run" answers and lost requests under seeded schedules of
- * crashes, pauses, lost answers, late writes, outages and disagreeing owners. docs/PROOFS-ledger.md
- * tells how to run one seed or more seeds.
+ * Guards against keys that run twice, wrong "not run" responses and calls without a response under
+ * seeded schedules of crashes, pauses, lost responses, late writes, outages and several owners of
+ * one shard. docs/PROOFS-ledger.md describes how to run one seed or more seeds.
  */
 class LedgerScheduleTest {
   private static final int SEEDS = 600;
@@ -18,12 +18,12 @@
   void everyKeyRunsAtMostOnceAndEveryResponseIsCorrect() {
     long first = Long.getLong("ledger.seed", 0);
     long count = Long.getLong("ledger.seeds", Long.getLong("ledger.seed") == null ? SEEDS : 1);
-    Set<Class<?>> replyKinds = new HashSet<>();
+    Set<Class<?>> responseTypes = new HashSet<>();
     for (long seed = first; seed < first + count; seed++) {
-      new LedgerSimulation(seed, replyKinds).run();
+      new LedgerSimulation(seed, responseTypes).run();
     }
-    if (count >= SEEDS) { // else the schedules would prove nothing about the missing replies
-      assertThat(replyKinds)
+    if (count >= SEEDS) { // all schedules together must cover these response types
+      assertThat(responseTypes)
           .containsExactly(
               KeyedResponse.Ran.class,
               KeyedResponse.Recorded.class,
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerShardTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerShardTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** Guards against records that are lost, grow beyond the object's limit or expire too early. */
+/**
+ * Guards against records that are lost, exceed the size limit of the shard object or expire too
+ * early.
+ */
 class LedgerShardTest {
   private static final Duration RETENTION = Duration.ofHours(24);
   private static final long NOW_SECONDS = 1_800_000_000L;
@@ -49,8 +52,8 @@
             599,
             "\"\u0001\u00e9".repeat(400));
     LedgerShard shard = shard(longest, record("b", NOW_SECONDS));
-    int real = LedgerCodec.encode(shard).toString().getBytes(StandardCharsets.UTF_8).length;
-    assertThat(shard.maxEncodedBytes()).isAtLeast(real);
+    int encodedBytes = LedgerCodec.encode(shard).toString().getBytes(StandardCharsets.UTF_8).length;
+    assertThat(shard.maxEncodedBytes()).isAtLeast(encodedBytes);
   }
 
   @Test
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerSimulation.java
@@ -20,7 +20,10 @@
 import org.mustardlatch.core.routing.Member;
 import org.mustardlatch.core.time.VirtualTimerService;
 
-/** One seeded schedule: nodes, object service, application and callers in virtual time. */
+/**
+ * Simulates nodes, object service, application and callers in virtual time under one seeded
+ * schedule of calls and faults.
+ */
 final class LedgerSimulation {
   static final long START_SECONDS = 1_800_000_000L;
   private static final int NODES = 3;
@@ -43,9 +46,9 @@
   private long lastIncarnation;
   private boolean faulty = true;
 
-  LedgerSimulation(long seed, Set<Class<?>> replyKinds) {
+  LedgerSimulation(long seed, Set<Class<?>> responseTypes) {
     this.seed = seed;
-    this.responseTypes = replyKinds;
+    this.responseTypes = responseTypes;
     random = new SplittableRandom(seed);
     store = new FakeStore(time, random, this::checkStartRecords);
     for (int i = 0; keys.size() < KEYS; i++) {
@@ -59,7 +62,7 @@
     }
   }
 
-  /** Runs the schedule with faults, heals everything, repeats every key and checks the outcome. */
+  /** Runs the schedule with faults, stops the faults, repeats every key and checks the outcome. */
   void run() {
     scheduleCalls();
     scheduleFaults();
@@ -78,7 +81,7 @@
       LedgerKey key = keys.get(random.nextInt(KEYS));
       int node = random.nextInt(NODES);
       time.schedule(randomDuration(FAULT_PHASE_MILLIS), () -> call(key, node, randomDeadline()));
-      if (random.nextInt(3) == 0) { // the caller repeats at once, at another node
+      if (random.nextInt(3) == 0) { // the caller repeats the call immediately at another node
         time.schedule(
             randomDuration(FAULT_PHASE_MILLIS), () -> callTwoNodes(key, node, (node + 1) % NODES));
       }
@@ -90,7 +93,7 @@
     call(key, second, randomDeadline());
   }
 
-  /** Short deadlines often pass while a write is not settled. */
+  /** Returns a random deadline. Short deadlines often pass while a write has no known result. */
   private Duration randomDeadline() {
     return random.nextBoolean() ? randomDuration(3_000) : randomDuration(40_000);
   }
@@ -121,15 +124,18 @@
     }
   }
 
-  /** After any step of a node: sometimes a pause of any length, sometimes death and a restart. */
+  /**
+   * Called after each task of a node: sometimes pauses the node for a random time, sometimes kills
+   * and restarts it.
+   */
   void maybeInjectFault(FakeNode node) {
     if (!faulty) {
       return;
     }
-    int dice = random.nextInt(200);
-    if (dice < 6) {
+    int randomValue = random.nextInt(200);
+    if (randomValue < 6) {
       node.pause(random.nextBoolean() ? randomDuration(2_000) : randomDuration(200_000));
-    } else if (dice == 6 && nodes.contains(node)) {
+    } else if (randomValue == 6 && nodes.contains(node)) {
       node.kill();
       int index = nodes.indexOf(node);
       nodes.set(index, newNode(index));
@@ -143,8 +149,8 @@
   }
 
   /**
-   * Nodes disagree about who is alive, so that a shard has several owners at once; a node that
-   * knows itself only writes directly.
+   * Gives the node a random view of the live nodes, so that nodes disagree and a shard has several
+   * owners at once. A node whose view contains only itself writes all records itself.
    */
   private void randomizeMembers(FakeNode node) {
     List<Member> members = new ArrayList<>();
@@ -157,7 +163,7 @@
     node.ledger.setMembers(members, Optional.of(new RegionId("r")));
   }
 
-  /** Messages are lost, duplicated and arrive late. */
+  /** Delivers a message; with faults it may be lost, duplicated or delayed. */
   void deliver(FakeNode from, HostId to, LedgerMessage message) {
     int copies = !faulty || random.nextInt(8) > 0 ? 1 : random.nextInt(3);
     if (message instanceof LedgerMessage.LedgerStart m) {
@@ -186,7 +192,10 @@
     store.stopFaults();
   }
 
-  /** A repeat after the finish record was stored gets the recorded answer and does not run. */
+  /**
+   * Repeats every key. A repeat after the finish record was stored must get the recorded response
+   * and must not run.
+   */
   private void repeatEveryKey() {
     for (LedgerKey key : keys) {
       boolean finished =
@@ -197,14 +206,17 @@
       time.advance(Duration.ofMinutes(2));
       checkUnusedKeyRuns(key, repeat);
       if (finished) {
-        assertForSeed("repeat of finished key is answered").that(repeat.response).isNotNull();
-        assertForSeed("repeat of finished key").that(repeat.dispatchCount).isEqualTo(0);
+        assertForSeed("response to repeat of finished key").that(repeat.response).isNotNull();
+        assertForSeed("dispatches of repeat of finished key")
+            .that(repeat.dispatchCount)
+            .isEqualTo(0);
         if (repeat.response instanceof KeyedResponse.Recorded recorded) {
           String expected = recorded.response() == null ? null : application.response(key);
-          assertForSeed("recorded answer").that(recorded.response()).isEqualTo(expected);
+          assertForSeed("recorded response").that(recorded.response()).isEqualTo(expected);
           assertForSeed("recorded status").that(recorded.status()).isEqualTo(200);
         } else {
-          assertForSeed("reply to repeat " + repeat.response + " though finish record was stored")
+          assertForSeed(
+                  "response to repeat " + repeat.response + " although finish record was stored")
               .that(nodeDiedAfterRun(key))
               .isTrue();
         }
@@ -213,8 +225,8 @@
   }
 
   /**
-   * A key is free for the repeat when no attempt was dispatched, no node died, and every starter
-   * learned of its record.
+   * Checks that the repeat runs if the key is unused: no attempt was dispatched, no node died, and
+   * every start response reached its node.
    */
   private void checkUnusedKeyRuns(LedgerKey key, FakeCall repeat) {
     boolean used =
@@ -226,16 +238,16 @@
                         || c.nodeDied
                         || lostStartResponses.contains(c.attempt.nonce()));
     if (!used) {
-      assertForSeed("free key: " + repeat.response).that(repeat.dispatchCount).isEqualTo(1);
+      assertForSeed("dispatches of repeat of unused key with response " + repeat.response)
+          .that(repeat.dispatchCount)
+          .isEqualTo(1);
     }
   }
 
-  /** Whether the node that ran the key died before its finish record was stored. */
+  /** Returns whether a node died that ran the key, so that the finish record may be missing. */
   private boolean nodeDiedAfterRun(LedgerKey key) {
     return calls.stream()
-        .anyMatch(
-            c ->
-                c.attempt.key().equals(key) && application.executedNonces(c.attempt) && c.nodeDied);
+        .anyMatch(c -> c.attempt.key().equals(key) && application.hasRun(c.attempt) && c.nodeDied);
   }
 
   private void checkCalls() {
@@ -246,32 +258,32 @@
       if (call.response != null) {
         responseTypes.add(call.response.getClass());
       }
-      String what = call.attempt.nonce() + " replied " + call.response;
-      assertForSeed("dispatches of " + what).that(call.dispatchCount).isAtMost(1);
-      assertForSeed("answers of " + what).that(call.responseCount).isAtMost(1);
+      String callText = call.attempt.nonce() + " with response " + call.response;
+      assertForSeed("dispatches of " + callText).that(call.dispatchCount).isAtMost(1);
+      assertForSeed("responses of " + callText).that(call.responseCount).isAtMost(1);
       if (!call.nodeDied) {
-        assertForSeed("answers of " + what).that(call.responseCount).isEqualTo(1);
+        assertForSeed("responses of " + callText).that(call.responseCount).isEqualTo(1);
       }
       if (call.response instanceof KeyedResponse.NotRun) {
-        assertForSeed("run of refused " + what)
-            .that(application.executedNonces(call.attempt))
+        assertForSeed("run of refused " + callText)
+            .that(application.hasRun(call.attempt))
             .isFalse();
-        assertForSeed("record of refused " + what).that(leavesStartRecord(call)).isFalse();
+        assertForSeed("record of refused " + callText).that(leavesStartRecord(call)).isFalse();
       }
       if (call.response instanceof KeyedResponse.Ran) {
-        assertForSeed("run of answered " + what)
-            .that(application.executedNonces(call.attempt))
+        assertForSeed("run of call with response " + callText)
+            .that(application.hasRun(call.attempt))
             .isTrue();
       }
     }
     for (FakeNode node : nodes) {
-      assertForSeed("node " + node.host + " has nothing open").that(node.ledger.isIdle()).isTrue();
+      assertForSeed("node " + node.host + " is idle").that(node.ledger.isIdle()).isTrue();
     }
   }
 
   /**
-   * No write may hold the start record of a call that was refused before, unless a forwarded
-   * message about it can come late.
+   * Checks that no write contains the start record of a call that was refused before, unless the
+   * start was forwarded, because a forwarded message can be delayed.
    */
   private void checkStartRecords(JsonNode content) {
     for (JsonNode r : content.path("recent")) {
@@ -288,7 +300,10 @@
     }
   }
 
-  /** Whether a start record of the attempt is left that its living starter could have cancelled. */
+  /**
+   * Returns whether the store has a start record of the attempt although its node is alive and
+   * received the start response, so that it could have cancelled the record.
+   */
   private boolean leavesStartRecord(FakeCall call) {
     String started = "\"state\":\"STARTED\",\"nonce\":\"" + call.attempt.nonce() + "\"";
     return !call.nodeDied
@@ -296,8 +311,8 @@
         && store.object(SHARD).toString().contains(started);
   }
 
-  private Duration randomDuration(int millis) {
-    return Duration.ofMillis(random.nextInt(millis));
+  private Duration randomDuration(int boundMillis) {
+    return Duration.ofMillis(random.nextInt(boundMillis));
   }
 
   private StandardSubjectBuilder assertForSeed(String what) {
--- a/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
@@ -9,7 +9,10 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** Guards against writes above the shard's budget and starts that a full shard can't finish. */
+/**
+ * Guards against writes above the rate limit of a shard and against starts that are accepted
+ * although the shard has no space for their finish records.
+ */
 class ShardWriterTest {
   private static final long NOW_SECONDS = 1_800_000_000L;
   private static final long SECOND = Duration.ofSeconds(1).toNanos();
@@ -23,7 +26,7 @@
     handle(writer, new ShardEvent.StartRequested(attempt(0)), 0);
     handle(writer, new ShardEvent.ReadFinished("", null), 0);
     int writes = 0;
-    for (int i = 1; i <= 100; i++) { // ten seconds, at one write a second
+    for (int i = 1; i <= 100; i++) { // ten seconds at one write per second
       long now = i * SECOND / 10;
       if (lastIsWrite()) {
         writes++;
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderLeaseTest.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderLeaseTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against two holders that both believe that they may send. */
+/** Guards against two nodes that may send orders at the same time. */
 class OrderLeaseTest {
   private static final LeaseTimes TIMES = LeaseTimes.DEFAULT;
   private static final long SECOND = Duration.ofSeconds(1).toNanos();
@@ -24,21 +24,22 @@
   @Test
   void pausedHolderSendsNothingEvenWithoutATakeover() {
     acquire(0);
-    long enough = TIMES.term().minus(TIMES.sendTimeout()).minus(TIMES.safetyMargin()).toNanos();
-    assertThat(lease.fencingTokenForSending(enough - 1)).hasValue(5);
-    assertThat(lease.fencingTokenForSending(enough)).isEmpty();
+    long sendLimitNanos =
+        TIMES.term().minus(TIMES.sendTimeout()).minus(TIMES.safetyMargin()).toNanos();
+    assertThat(lease.fencingTokenForSending(sendLimitNanos - 1)).hasValue(5);
+    assertThat(lease.fencingTokenForSending(sendLimitNanos)).isEmpty();
   }
 
   @Test
   void successorWaitsForTermAndMarginAfterItFirstReadTheVersion() {
     handle(new LeaseEvent.CandidacyChanged(true), 0);
     handle(new LeaseEvent.ReadFinished(4, "other"), 1);
-    long free = 1 + TIMES.term().plus(TIMES.safetyMargin()).toNanos();
-    handle(new LeaseEvent.TimerFired(), free - 1);
-    handle(new LeaseEvent.ReadFinished(4, "other"), free - 1);
+    long termEndNanos = 1 + TIMES.term().plus(TIMES.safetyMargin()).toNanos();
+    handle(new LeaseEvent.TimerFired(), termEndNanos - 1);
+    handle(new LeaseEvent.ReadFinished(4, "other"), termEndNanos - 1);
     assertThat(writes()).isEmpty();
-    handle(new LeaseEvent.TimerFired(), free);
-    handle(new LeaseEvent.ReadFinished(4, "other"), free);
+    handle(new LeaseEvent.TimerFired(), termEndNanos);
+    handle(new LeaseEvent.ReadFinished(4, "other"), termEndNanos);
     assertThat(writes()).containsExactly(new LeaseCommand.Write(4, "me"));
   }
 
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderManagerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderManagerTest.java
@@ -10,7 +10,10 @@
 import org.mustardlatch.core.manifest.UpstreamRole;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Guards against pools that lose a role, too many loads, and orders given without reading back. */
+/**
+ * Guards against pools that lose a role, against too many concurrent loads and against orders that
+ * are sent before the engines were read.
+ */
 class OrderManagerTest {
   private final Map<UpstreamId, ReportedEngineState> engines = new HashMap<>();
   private final List<DesiredEngineState> desiredStates = new ArrayList<>();
@@ -56,9 +59,9 @@
     addEngine("a", "p", UpstreamRole.PREFILL, UpstreamRole.MIXED, 0);
     List<OrderManagerCommand> out = new ArrayList<>();
     manager.handle(new OrderManagerEvent.DesiredStatesChanged(desiredStates, 2, 7), 0, out::add);
-    ReportedEngineState view =
+    ReportedEngineState state =
         new ReportedEngineState(new UpstreamId("a"), UpstreamRole.PREFILL, "w1", false, 0, 1);
-    manager.handle(new OrderManagerEvent.EngineRead(view), 0, out::add);
+    manager.handle(new OrderManagerEvent.EngineRead(state), 0, out::add);
     out.clear();
     handleLeaseEvent(new LeaseEvent.CandidacyChanged(true), out);
     handleLeaseEvent(new LeaseEvent.ReadFinished(0, ""), out);
@@ -72,10 +75,15 @@
     manager.handle(new OrderManagerEvent.LeaseEventReceived(event), 0, out::add);
   }
 
-  private void addEngine(String name, String pool, UpstreamRole has, UpstreamRole wants, int held) {
+  private void addEngine(
+      String name,
+      String pool,
+      UpstreamRole currentRole,
+      UpstreamRole desiredRole,
+      int openRequests) {
     UpstreamId id = new UpstreamId(name);
-    engines.put(id, new ReportedEngineState(id, has, "w1", false, held, 1));
-    desiredStates.add(new DesiredEngineState(id, pool, wants, "w1"));
+    engines.put(id, new ReportedEngineState(id, currentRole, "w1", false, openRequests, 1));
+    desiredStates.add(new DesiredEngineState(id, pool, desiredRole, "w1"));
   }
 
   private void addEngineToLoad(String name, String pool, int freeSlots) {
@@ -84,9 +92,9 @@
     desiredStates.add(new DesiredEngineState(id, pool, UpstreamRole.MIXED, "w2"));
   }
 
-  private void changeEngine(String name, UpstreamRole has, int held) {
+  private void changeEngine(String name, UpstreamRole currentRole, int openRequests) {
     UpstreamId id = new UpstreamId(name);
-    engines.put(id, new ReportedEngineState(id, has, "w1", false, held, 1));
+    engines.put(id, new ReportedEngineState(id, currentRole, "w1", false, openRequests, 1));
     replan();
   }
 
@@ -106,18 +114,18 @@
     return sentOrders.stream().map(o -> o.engine() + " " + o.kind()).toList();
   }
 
-  /** Runs the event and answers every read and order that follows from it. */
+  /** Handles the event and completes every read and order that results from it. */
   private void run(OrderManagerEvent event) {
     List<OrderManagerCommand> commands = new ArrayList<>();
     manager.handle(event, 0, commands::add);
     for (OrderManagerCommand command : commands) {
       switch (command) {
         case OrderManagerCommand.ReadEngine c -> {
-          ReportedEngineState view = engines.get(c.engine());
+          ReportedEngineState state = engines.get(c.engine());
           run(
-              view == null
+              state == null
                   ? new OrderManagerEvent.EngineReadFailed(c.engine())
-                  : new OrderManagerEvent.EngineRead(view));
+                  : new OrderManagerEvent.EngineRead(state));
         }
         case OrderManagerCommand.SendOrder c -> {
           sentOrders.add(c.order());
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderScheduleTest.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderScheduleTest.java
@@ -5,8 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against orders of two holders at once and against engines that stay in the state of a late
- * order, under seeded schedules of pauses, deaths, lost answers and late writes and orders.
+ * Guards against orders of two lease holders at the same time and against engines that stay in the
+ * state of a delayed order, under seeded schedules of pauses, lost responses and delayed writes and
+ * orders.
  */
 class OrderScheduleTest {
   private static final int SEEDS = 300;
@@ -17,11 +18,11 @@
     long count = Long.getLong("orders.seed") == null ? SEEDS : 1;
     int takeovers = 0;
     for (long seed = first; seed < first + count; seed++) {
-      OrderSimulation world = new OrderSimulation(seed);
-      world.run();
-      takeovers += world.takeovers();
+      OrderSimulation simulation = new OrderSimulation(seed);
+      simulation.run();
+      takeovers += simulation.takeovers();
     }
-    if (count == SEEDS) { // fewer changes of the holder would prove nothing about them
+    if (count == SEEDS) { // ensures that the schedules cover changes of the holder
       assertWithMessage("takeovers").that(takeovers).isAtLeast(SEEDS / 2);
     }
   }
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
@@ -15,7 +15,10 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.time.VirtualTimerService;
 
-/** One seeded schedule: three nodes, one lease object and six engines in virtual time. */
+/**
+ * Simulates three nodes, one lease object and six engines in virtual time under one seeded schedule
+ * of faults.
+ */
 final class OrderSimulation {
   private static final int FAULT_PHASE_MILLIS = 240_000;
   private static final Duration SETTLE_TIME = Duration.ofMinutes(6);
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Returns how often an order came from another node than the order before it. */
+  /** Returns the number of orders that came from another node than the preceding order. */
   int takeovers() {
     return takeovers;
   }
@@ -70,12 +73,12 @@
     time.advance(Duration.ofMillis(FAULT_PHASE_MILLIS / 2));
     faulty = false;
     time.advance(SETTLE_TIME);
-    for (DesiredEngineState goal : desiredStates) {
-      Engine engine = engine(goal.engine());
-      assertWithMessage("seed %s: role of %s", seed, goal.engine())
+    for (DesiredEngineState desired : desiredStates) {
+      Engine engine = engine(desired.engine());
+      assertWithMessage("seed %s: role of %s", seed, desired.engine())
           .that(engine.role)
-          .isEqualTo(goal.role());
-      assertWithMessage("seed %s: weights of %s", seed, goal.engine())
+          .isEqualTo(desired.role());
+      assertWithMessage("seed %s: weights of %s", seed, desired.engine())
           .that(engine.weights)
           .isEqualTo("w3");
     }
@@ -99,15 +102,15 @@
     return engine;
   }
 
-  private Duration randomDuration(int millis) {
-    return Duration.ofMillis(random.nextInt(millis));
+  private Duration randomDuration(int boundMillis) {
+    return Duration.ofMillis(random.nextInt(boundMillis));
   }
 
   private boolean injectFault(int oneIn) {
     return faulty && random.nextInt(oneIn) == 0;
   }
 
-  /** An engine that drains within seconds and loads within 20 s. */
+  /** An engine that drains within 5 s and loads weights within 20 s. */
   private static final class Engine {
     private final boolean checksFencing;
     private UpstreamRole role;
@@ -126,7 +129,7 @@
     }
   }
 
-  /** A node that can be paused; what arrives meanwhile waits. */
+  /** A node that can be paused; tasks that arrive during a pause run afterwards. */
   private final class Node {
     private final String name;
     private final OrderManager manager;
@@ -187,7 +190,7 @@
             time.schedule(
                 randomDuration(100),
                 () ->
-                    executeLeaseCommand(
+                    handleLeaseEvent(
                         injectFault(10)
                             ? new LeaseEvent.ReadFailed()
                             : new LeaseEvent.ReadFinished(leaseVersion, leaseHolder)));
@@ -195,22 +198,23 @@
         case LeaseCommand.SetTimer c ->
             time.schedule(
                 Duration.ofNanos(c.atNanos() - time.nanos()),
-                () -> executeLeaseCommand(new LeaseEvent.TimerFired()));
-        case LeaseCommand.Acquired c -> throw new AssertionError("handled by the desk");
+                () -> handleLeaseEvent(new LeaseEvent.TimerFired()));
+        case LeaseCommand.Acquired c ->
+            throw new AssertionError("Acquired is handled by the order manager");
       }
     }
 
-    private void executeLeaseCommand(LeaseEvent event) {
+    private void handleLeaseEvent(LeaseEvent event) {
       run(() -> handle(new OrderManagerEvent.LeaseEventReceived(event)));
     }
 
-    /** Applied after the delay, even when the sender has given up long before. */
+    /** Applies the write after a delay, even if the call of the sender timed out long before. */
     private void writeLease(LeaseCommand.Write c) {
-      boolean lost = injectFault(5);
-      Duration delay = lost && random.nextBoolean() ? randomDuration(20_000) : randomDuration(500);
-      if (lost) {
-        time.schedule(
-            Duration.ofSeconds(1), () -> executeLeaseCommand(new LeaseEvent.WriteFailed()));
+      boolean responseLost = injectFault(5);
+      Duration delay =
+          responseLost && random.nextBoolean() ? randomDuration(20_000) : randomDuration(500);
+      if (responseLost) {
+        time.schedule(Duration.ofSeconds(1), () -> handleLeaseEvent(new LeaseEvent.WriteFailed()));
       }
       time.schedule(
           delay,
@@ -220,8 +224,8 @@
               leaseVersion++;
               leaseHolder = c.holder();
             }
-            if (!lost) {
-              executeLeaseCommand(
+            if (!responseLost) {
+              handleLeaseEvent(
                   applied
                       ? new LeaseEvent.WriteStored(leaseVersion)
                       : new LeaseEvent.WriteFailed());
@@ -229,7 +233,10 @@
           });
     }
 
-    /** The order can arrive long after its sender gave up, for example because it was paused. */
+    /**
+     * Sends an order. The order can arrive long after it timed out at its sender, for example
+     * because the sender was paused.
+     */
     private void sendOrder(OrderManagerCommand.SendOrder c) {
       assertWithMessage("seed %s: token of %s after %s", seed, name, lastSender)
           .that(c.fencingToken())
