--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
@@ -48,12 +48,12 @@
    * instead of compacted.
    */
   void compact(long nowSeconds, Duration fullRecordRetention, Duration retention) {
-    Iterator<LedgerRecord> iterator = fullRecords.values().iterator();
-    while (iterator.hasNext()) {
-      LedgerRecord r = iterator.next();
+    Iterator<LedgerRecord> recordIterator = fullRecords.values().iterator();
+    while (recordIterator.hasNext()) {
+      LedgerRecord r = recordIterator.next();
       if (r.state() != RecordState.STARTED
           && nowSeconds - r.changedSeconds() > fullRecordRetention.toSeconds()) {
-        iterator.remove();
+        recordIterator.remove();
         if (r.state() != RecordState.CANCELLED) {
           compactRecords.put(r.key(), CompactRecord.of(r));
         }
