--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeApplication.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Application that counts its runs. */
+/** Application that counts the runs of each key. */
 final class FakeApplication {
-  private final Map<LedgerKey, Integer> runs = new HashMap<>();
-  private final Map<LedgerKey, String> answers = new HashMap<>();
-  private final Set<String> ran = new HashSet<>();
+  private final Map<LedgerKey, Integer> runCounts = new HashMap<>();
+  private final Map<LedgerKey, String> responses = new HashMap<>();
+  private final Set<String> executedNonces = new HashSet<>();
 
   String run(Attempt attempt) {
-    runs.merge(attempt.key(), 1, Integer::sum);
-    ran.add(attempt.nonce());
-    String answer = "answer to " + attempt.nonce();
-    answers.put(attempt.key(), answer);
-    return answer;
+    runCounts.merge(attempt.key(), 1, Integer::sum);
+    executedNonces.add(attempt.nonce());
+    String response = "response to " + attempt.nonce();
+    responses.put(attempt.key(), response);
+    return response;
   }
 
   int runs(LedgerKey key) {
-    return runs.getOrDefault(key, 0);
+    return runCounts.getOrDefault(key, 0);
   }
 
-  boolean ran(Attempt attempt) {
-    return ran.contains(attempt.nonce());
+  boolean hasRun(Attempt attempt) {
+    return executedNonces.contains(attempt.nonce());
   }
 
-  String answer(LedgerKey key) {
-    return answers.getOrDefault(key, "never ran");
+  String response(LedgerKey key) {
+    return responses.getOrDefault(key, "never ran");
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeCall.java
@@ -2,14 +2,14 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** One call of a caller and what became of it. */
+/** One call of a caller with its responses and dispatches. */
 final class FakeCall {
   final Attempt attempt;
   final long deadlineNanos;
-  @Nullable KeyedReply reply;
-  int replies;
-  int dispatches;
-  boolean callerGone;
+  @Nullable KeyedResponse response;
+  int responseCount;
+  int dispatchCount;
+  boolean callerDisconnected;
   boolean nodeDied;
 
   FakeCall(Attempt attempt, long deadlineNanos) {
@@ -17,8 +17,8 @@
     this.deadlineNanos = deadlineNanos;
   }
 
-  void replied(KeyedReply r) {
-    reply = r;
-    replies++;
+  void recordResponse(KeyedResponse newResponse) {
+    response = newResponse;
+    responseCount++;
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
@@ -10,22 +10,22 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 
 /**
- * Object service in virtual time whose calls and answers are delayed, lost, refused and applied
- * late. A client gives up after one second, but what it sent may still be applied.
+ * Object service in virtual time that delays, loses and refuses calls and responses and applies
+ * writes late. A call times out after one second, but its write may still be applied afterwards.
  */
 final class FakeStore {
   private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(1);
 
   private final VirtualTimerService time;
   private final RandomGenerator random;
-  private final Map<Integer, Stored> objects = new HashMap<>();
+  private final Map<Integer, StoredObject> objects = new HashMap<>();
   private long lastVersion;
-  private long downUntil;
-  private long slowUntil;
+  private long downUntilNanos;
+  private long slowUntilNanos;
   private final Consumer<JsonNode> onApplied;
   private boolean faulty = true;
 
-  record Stored(String version, @Nullable JsonNode content) {}
+  record StoredObject(String version, @Nullable JsonNode content) {}
 
   FakeStore(VirtualTimerService time, RandomGenerator random, Consumer<JsonNode> onApplied) {
     this.onApplied = onApplied;
@@ -33,97 +33,99 @@
     this.random = random;
   }
 
-  void goDown(Duration duration) {
-    downUntil = time.nanos() + duration.toNanos();
+  void startOutage(Duration duration) {
+    downUntilNanos = time.nanos() + duration.toNanos();
   }
 
-  void goSlow(Duration duration) {
-    slowUntil = time.nanos() + duration.toNanos();
+  void startSlowdown(Duration duration) {
+    slowUntilNanos = time.nanos() + duration.toNanos();
   }
 
-  void heal() {
+  void stopFaults() {
     faulty = false;
-    downUntil = 0;
-    slowUntil = 0;
+    downUntilNanos = 0;
+    slowUntilNanos = 0;
   }
 
-  Stored object(int shard) {
-    return objects.getOrDefault(shard, new Stored("", null));
+  StoredObject object(int shard) {
+    return objects.getOrDefault(shard, new StoredObject("", null));
   }
 
   void read(int shard, Consumer<ShardEvent> result) {
-    OneAnswer answer = new OneAnswer(result);
-    time.schedule(CLIENT_TIMEOUT, () -> answer.give(new ShardEvent.ReadFailed()));
+    FirstResponse response = new FirstResponse(result);
+    time.schedule(CLIENT_TIMEOUT, () -> response.deliver(new ShardEvent.ReadFailed()));
     time.schedule(
         delay(),
         () -> {
-          Stored s = object(shard);
+          StoredObject s = object(shard);
           if (isDown()) {
-            answer.give(new ShardEvent.ReadFailed());
-          } else if (!lost()) {
+            response.deliver(new ShardEvent.ReadFailed());
+          } else if (!loseResponse()) {
             time.schedule(
-                delay(), () -> answer.give(new ShardEvent.ReadFinished(s.version, s.content)));
+                delay(), () -> response.deliver(new ShardEvent.ReadFinished(s.version, s.content)));
           }
         });
   }
 
   void write(int shard, String version, JsonNode content, Consumer<ShardEvent> result) {
-    OneAnswer answer = new OneAnswer(result);
+    FirstResponse response = new FirstResponse(result);
     if (isDown() && random.nextBoolean()) {
-      time.schedule(delay(), () -> answer.give(new ShardEvent.WriteRefused(false, 0)));
+      time.schedule(delay(), () -> response.deliver(new ShardEvent.WriteRefused(false, 0)));
       return;
     }
-    time.schedule(CLIENT_TIMEOUT, () -> answer.give(new ShardEvent.WriteUnknown()));
+    time.schedule(CLIENT_TIMEOUT, () -> response.deliver(new ShardEvent.WriteUnknown()));
     boolean late = faulty && random.nextInt(6) == 0;
-    int lateMillis = random.nextBoolean() ? 6_000 : 90_000;
-    Duration sendDelay = late ? Duration.ofMillis(random.nextInt(lateMillis)) : delay();
-    time.schedule(sendDelay, () -> apply(shard, version, content, answer));
+    int maxLateMillis = random.nextBoolean() ? 6_000 : 90_000;
+    Duration sendDelay = late ? Duration.ofMillis(random.nextInt(maxLateMillis)) : delay();
+    time.schedule(sendDelay, () -> apply(shard, version, content, response));
   }
 
-  private void apply(int shard, String version, JsonNode content, OneAnswer answer) {
+  private void apply(int shard, String version, JsonNode content, FirstResponse response) {
     if (isDown()) {
-      return; // neither applied nor answered
+      return; // the write is neither applied nor gets a response
     }
-    boolean matches = object(shard).version.equals(version);
-    if (matches) {
-      objects.put(shard, new Stored(Long.toString(++lastVersion), content));
+    boolean versionMatches = object(shard).version.equals(version);
+    if (versionMatches) {
+      objects.put(shard, new StoredObject(Long.toString(++lastVersion), content));
       onApplied.accept(content);
     }
-    String stored = object(shard).version;
-    if (!lost()) {
+    String currentVersion = object(shard).version;
+    if (!loseResponse()) {
       time.schedule(
           delay(),
           () ->
-              answer.give(
-                  matches ? new ShardEvent.WriteStored(stored) : new ShardEvent.WriteConflicted()));
+              response.deliver(
+                  versionMatches
+                      ? new ShardEvent.WriteStored(currentVersion)
+                      : new ShardEvent.WriteConflicted()));
     }
   }
 
   private boolean isDown() {
-    return time.nanos() < downUntil;
+    return time.nanos() < downUntilNanos;
   }
 
-  private boolean lost() {
+  private boolean loseResponse() {
     return faulty && random.nextInt(8) == 0;
   }
 
   private Duration delay() {
-    int millis = time.nanos() < slowUntil ? 3_000 : 30;
+    int millis = time.nanos() < slowUntilNanos ? 3_000 : 30;
     return Duration.ofMillis(1 + random.nextInt(millis));
   }
 
-  /** Passes on the first answer only. */
-  private static final class OneAnswer {
+  /** Delivers only the first of several responses to a call. */
+  private static final class FirstResponse {
     private final Consumer<ShardEvent> result;
-    private boolean given;
+    private boolean delivered;
 
-    OneAnswer(Consumer<ShardEvent> result) {
+    FirstResponse(Consumer<ShardEvent> result) {
       this.result = result;
     }
 
-    void give(ShardEvent event) {
-      if (!given) {
-        given = true;
+    void deliver(ShardEvent event) {
+      if (!delivered) {
+        delivered = true;
         result.accept(event);
       }
     }
