--- a/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
@@ -8,18 +8,19 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * Chooses the application upstream with the shortest predicted answer time, from this node's own
- * requests in progress and the load that upstreams state in their answers.
+ * Load balancer that chooses the application upstream with the shortest predicted response time,
+ * based on this node's own requests in progress and the load that upstreams report in their
+ * responses.
  *
- * <p>Answers the load of few upstreams of which one is a straggler for some hundred milliseconds.
- * Not safe for use by several threads.
+ * <p>Designed for services with few upstreams, one of which may be slow for some hundred
+ * milliseconds. Not thread-safe.
  */
 public final class Balancer {
-  // Stated load is as old as the answer that carried it; after this it says nothing any more.
+  // Reported load is as old as the response that carried it and is ignored after this age.
   private static final long MAX_LOAD_AGE_NANOS = 400_000_000;
   private static final long INITIAL_SERVICE_TIME_NANOS = 20_000_000;
   private static final double SERVICE_TIME_EWMA_WEIGHT = 0.2;
-  // An upstream that broke off is tried again after 0.25 s, 0.5 s and so on up to 4 s.
+  // A failed upstream is avoided for 0.25 s, 0.5 s and so on, up to 4 s.
   private static final long INITIAL_BACKOFF_NANOS = 250_000_000;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
@@ -36,22 +37,23 @@
   private final Map<UpstreamId, UpstreamState> states = new HashMap<>();
 
   /**
-   * Returns the upstream with the shortest predicted answer time, or null when there is none.
+   * Returns the upstream with the shortest predicted response time, or null if there is none.
    *
    * @param candidates upstreams that may be used
-   * @param tried upstreams that failed this request already; never chosen
+   * @param attempted upstreams that already failed this request; never chosen
    * @param now monotonic time, nanoseconds
    */
-  public @Nullable Candidate choose(List<Candidate> candidates, Set<UpstreamId> tried, long now) {
+  public @Nullable Candidate choose(
+      List<Candidate> candidates, Set<UpstreamId> attempted, long now) {
     Candidate best = null;
     double bestScore = Double.MAX_VALUE;
     for (Candidate c : candidates) {
-      if (tried.contains(c.id())) {
+      if (attempted.contains(c.id())) {
         continue;
       }
       double score = predictedResponseNanos(c, now);
       if (state(c.id()).backoffUntilNanos > now) {
-        // Only when nothing else is left.
+        // Chosen only if no other candidate is left.
         score += Long.MAX_VALUE / 2.0;
       }
       if (score < bestScore) {
@@ -62,38 +64,40 @@
     return best;
   }
 
-  /** Returns the predicted time from sending a request to its answer, nanoseconds. */
+  /** Returns the predicted time from sending a request until its response, nanoseconds. */
   public double predictedResponseNanos(Candidate c, long now) {
     UpstreamState s = state(c.id());
-    double running = s.inFlight;
-    double slowness = 1;
+    double concurrentRequests = s.inFlight;
+    double slowdownFactor = 1;
     UpstreamLoad load = s.load;
     if (load != null && now - s.loadReportedNanos < MAX_LOAD_AGE_NANOS) {
-      double others = Math.max(0, load.running() + load.waiting() - s.inFlightAtLoadReport);
-      running += others * (1 - (double) (now - s.loadReportedNanos) / MAX_LOAD_AGE_NANOS);
-      slowness = load.slowdownFactor();
+      double otherRequests = Math.max(0, load.running() + load.waiting() - s.inFlightAtLoadReport);
+      concurrentRequests +=
+          otherRequests * (1 - (double) (now - s.loadReportedNanos) / MAX_LOAD_AGE_NANOS);
+      slowdownFactor = load.slowdownFactor();
     }
-    double queued = Math.max(0, running + 1 - c.slots());
-    return c.roundTripNanos() + s.serviceTimeNanos * slowness * (1 + queued / c.slots());
+    double queued = Math.max(0, concurrentRequests + 1 - c.slots());
+    return c.roundTripNanos() + s.serviceTimeNanos * slowdownFactor * (1 + queued / c.slots());
   }
 
-  /** Takes note that a request was sent. */
+  /** Records that a request was sent. */
   public void requestSent(UpstreamId id) {
     state(id).inFlight++;
   }
 
-  /** Takes note that an upstream answered a request, whatever the answer. */
-  public void responseReceived(UpstreamId id, long durationNanos, @Nullable UpstreamLoad load, long now) {
+  /** Records that an upstream responded to a request, with whatever status. */
+  public void responseReceived(
+      UpstreamId id, long durationNanos, @Nullable UpstreamLoad load, long now) {
     UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
     s.consecutiveFailures = 0;
-    double slowness = load == null ? 1 : Math.max(1, load.slowdownFactor());
-    double usual = durationNanos / slowness;
-    s.serviceTimeNanos += SERVICE_TIME_EWMA_WEIGHT * (usual - s.serviceTimeNanos);
+    double slowdownFactor = load == null ? 1 : Math.max(1, load.slowdownFactor());
+    double baseline = durationNanos / slowdownFactor;
+    s.serviceTimeNanos += SERVICE_TIME_EWMA_WEIGHT * (baseline - s.serviceTimeNanos);
     recordLoad(s, load, now);
   }
 
-  /** Takes note that an upstream refused a request that it did not run. */
+  /** Records that an upstream refused a request without running it. */
   public void requestRefused(UpstreamId id, @Nullable UpstreamLoad load, long now) {
     UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
@@ -101,24 +105,24 @@
     s.backoffUntilNanos = Math.max(s.backoffUntilNanos, now + INITIAL_BACKOFF_NANOS / 4);
   }
 
-  /** Takes note that a request to an upstream was broken off or got no answer. */
+  /** Records that a request to an upstream was interrupted or got no response. */
   public void requestFailed(UpstreamId id, long now) {
     UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
-    long block = INITIAL_BACKOFF_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, s.consecutiveFailures);
-    s.backoffUntilNanos = Math.max(s.backoffUntilNanos, now + block);
+    long backoff = INITIAL_BACKOFF_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, s.consecutiveFailures);
+    s.backoffUntilNanos = Math.max(s.backoffUntilNanos, now + backoff);
     s.consecutiveFailures++;
   }
 
-  /** Takes note that this node gave a request up before its answer. */
+  /** Records that this node cancelled a request before its response. */
   public void requestCancelled(UpstreamId id) {
     UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
   }
 
-  /** Forgets upstreams that no longer exist. */
-  public void retainOnly(Set<UpstreamId> known) {
-    states.keySet().retainAll(known);
+  /** Removes the state of upstreams that no longer exist. */
+  public void retainOnly(Set<UpstreamId> existing) {
+    states.keySet().retainAll(existing);
   }
 
   private static void recordLoad(UpstreamState s, @Nullable UpstreamLoad load, long now) {
--- a/core/src/main/java/org/mustardlatch/core/balancing/Candidate.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/Candidate.java
@@ -3,11 +3,11 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * An upstream that a request may be sent to.
+ * Upstream to which a request may be sent.
  *
  * @param id the upstream
- * @param slots requests that it works on at a time, at least 1
- * @param roundTripNanos time there and back on the network, nanoseconds
+ * @param slots requests that it processes concurrently, at least 1
+ * @param roundTripNanos network round-trip time, nanoseconds
  */
 public record Candidate(UpstreamId id, int slots, long roundTripNanos) {
   /** Checks the number of slots. */
--- a/core/src/main/java/org/mustardlatch/core/balancing/RetryBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/RetryBudget.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.balancing;
 
 /**
- * Repeats of requests that a node may send to one service, as a fraction of its own requests to it.
- * Because it is a fraction of local traffic and the initial units are few, the sum over all nodes
- * keeps the fleet's bound without messages.
+ * Budget of extra requests (retries or hedges) that a node may send to one service, as a fraction
+ * of its own requests to it. Because each node counts only its local traffic and starts with few
+ * units, the sum over all nodes stays within the bound of the fleet without any messages.
  */
 public final class RetryBudget {
   private double capacity;
@@ -12,8 +12,9 @@
   /**
    * Creates a budget.
    *
-   * @param initial units at the start, so that a failure right after the start can be repeated
-   * @param capacity most units that are saved up; bounds a burst of repeats
+   * @param initial units at the start, so that a request that fails right after the start can be
+   *     retried
+   * @param capacity maximum number of accumulated units; bounds a burst of retries
    */
   public RetryBudget(double initial, double capacity) {
     this.units = initial;
@@ -21,25 +22,25 @@
   }
 
   /**
-   * Takes note of a request of a caller.
+   * Deposits units for one request of a caller.
    *
-   * @param fraction units that it earns, 0 to 1
+   * @param fraction units to deposit, 0 to 1
    */
   public void deposit(double fraction) {
     units = Math.min(capacity, units + fraction);
   }
 
   /**
-   * Changes how many units are saved up; those beyond are lost.
+   * Changes the capacity and discards units above it.
    *
-   * @param most at least 0
+   * @param newCapacity maximum number of accumulated units, at least 0
    */
-  public void setCapacity(double most) {
-    capacity = most;
-    units = Math.min(units, most);
+  public void setCapacity(double newCapacity) {
+    capacity = newCapacity;
+    units = Math.min(units, newCapacity);
   }
 
-  /** Takes one unit; returns false when there is none. */
+  /** Acquires one unit; returns false if there is none. */
   public boolean tryAcquire() {
     if (units < 1) {
       return false;
--- a/core/src/main/java/org/mustardlatch/core/balancing/UpstreamLoad.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/UpstreamLoad.java
@@ -1,11 +1,11 @@
 package org.mustardlatch.core.balancing;
 
 /**
- * The load that an application upstream states in an answer.
+ * Load that an application upstream reports in a response.
  *
- * @param running requests that it works on
+ * @param running requests in progress
  * @param waiting requests in its queue
- * @param slots requests that it works on at a time
- * @param slowdownFactor how long work takes there at this moment, 1 as usual
+ * @param slots requests that it processes concurrently
+ * @param slowdownFactor current service time relative to the usual one; 1 means no slowdown
  */
 public record UpstreamLoad(int running, int waiting, int slots, double slowdownFactor) {}
--- a/core/src/main/java/org/mustardlatch/core/balancing/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of an upstream for requests to plain application services. */
+/** Load balancing and retry budgets for requests to application services. */
 @NullMarked
 package org.mustardlatch.core.balancing;
 
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
@@ -10,30 +10,33 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 
 /**
- * Spends from shared budgets what their owners lease to this node. Asks for as much as was spent
- * within the last lease time. When an owner does not answer, the next node in rendezvous order is
- * asked. Deterministic; not safe for use by several threads.
+ * Spends units of shared budgets that their owners lease to this node. Requests as many units as
+ * were spent within the last lease time. If an owner does not respond, requests go to its backup,
+ * the next node in rendezvous order. Deterministic; not thread-safe.
  */
 public final class BudgetClient {
-  /** How often {@link #tick} is expected while spends wait. */
+  /** Expected interval between calls of {@link #tick} while spends wait. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(50);
 
-  /** How long a spend waits for a lease before it is refused. */
+  /** Time that a spend waits for a lease before it is refused. */
   public static final Duration MAX_WAIT = Duration.ofMillis(300);
 
+  /** Time without a response after which a request is repeated. */
   private static final long REQUEST_TIMEOUT = Duration.ofMillis(100).toNanos();
+
+  /** Minimum interval between two requests for the same budget. */
   private static final long MIN_REQUEST_INTERVAL = Duration.ofMillis(50).toNanos();
 
-  /** Requests without answer after which the stand-in is asked. */
+  /** Number of requests without a response after which the backup is used. */
   private static final int UNANSWERED_LIMIT = 1;
 
-  /** How long the stand-in is asked before the owner is tried again. */
+  /** Time for which requests go to the backup before the owner is tried again. */
   private static final long BACKUP_PERIOD = Duration.ofSeconds(2).toNanos();
 
   private final BudgetOwnerRanking owners = new BudgetOwnerRanking();
   private final Map<String, LeasedBudget> leasedBudgets = new HashMap<>();
 
-  /** Creates a client that holds nothing. */
+  /** Creates a client without leases. */
   public BudgetClient() {}
 
   /** Sets the live nodes of the region, this one included. */
@@ -43,10 +46,11 @@
   }
 
   /**
-   * Spends units. One {@link BudgetCommand.Granted} or {@link BudgetCommand.Refused} with the
-   * ticket follows, now or within {@link #MAX_WAIT}.
+   * Spends units. Exactly one {@link BudgetCommand.Granted} or {@link BudgetCommand.Refused} with
+   * the ticket follows, during this call or within {@link #MAX_WAIT}.
    *
-   * @param units units to take, greater than 0
+   * @param ticket identifies the spend in the resulting command
+   * @param units units to spend, greater than 0
    */
   public void spend(
       long ticket, String budget, double units, long nowNanos, Consumer<BudgetCommand> out) {
@@ -62,7 +66,7 @@
     requestLease(budget, h, nowNanos, out);
   }
 
-  /** Takes a lease that arrived. */
+  /** Adds a received lease and grants the waiting spends that it covers. */
   public void leaseReceived(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
     LeasedBudget h = leasedBudgets.get(lease.budget());
     if (h == null) {
@@ -76,7 +80,7 @@
     }
   }
 
-  /** Refuses spends that waited for too long and repeats requests without answer. */
+  /** Refuses spends that waited for {@link #MAX_WAIT} and repeats requests without a response. */
   public void tick(long nowNanos, Consumer<BudgetCommand> out) {
     leasedBudgets.forEach(
         (budget, h) -> {
@@ -86,21 +90,23 @@
     leasedBudgets.values().removeIf(h -> h.isIdle(nowNanos));
   }
 
-  /** Returns whether spends wait. */
+  /** Returns whether any spend waits for a lease. */
   public boolean hasWaitingSpends() {
     return leasedBudgets.values().stream().anyMatch(LeasedBudget::hasWaitingSpends);
   }
 
-  /** Returns the units held by budget, for a dump. */
+  /** Returns the leased and unspent units by budget, for a diagnostic dump. */
   public Map<String, Double> availableUnits(long nowNanos) {
     Map<String, Double> all = new HashMap<>();
     leasedBudgets.forEach((budget, h) -> all.put(budget, h.availableUnits(nowNanos)));
     return all;
   }
 
+  /** Requests a lease if more units are needed and no request is in progress. */
   private void requestLease(String budget, LeasedBudget h, long now, Consumer<BudgetCommand> out) {
-    double wanted = h.unitsToRequest(now);
-    if (wanted <= 0 || (h.lastRequestNanos != 0 && now - h.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
+    double requestedUnits = h.unitsToRequest(now);
+    if (requestedUnits <= 0
+        || (h.lastRequestNanos != 0 && now - h.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
       return;
     }
     if (h.requestPending) {
@@ -118,9 +124,10 @@
     h.lastRequestNanos = now;
     out.accept(
         new BudgetCommand.Send(
-            candidates.get(h.candidateIndex), new BudgetLeaseRequest(budget, wanted)));
+            candidates.get(h.candidateIndex), new BudgetLeaseRequest(budget, requestedUnits)));
   }
 
+  /** Chooses between the owner and its backup for the next request. */
   private static void selectCandidate(LeasedBudget h, int candidates, long now) {
     if (h.candidateIndex > 0 && now - h.backupSinceNanos > BACKUP_PERIOD) {
       h.candidateIndex = 0;
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
@@ -8,13 +8,13 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 
 /**
- * Grants leases of the budgets that this node owns, design section 4.11.
+ * Grants leases of the budgets that this node owns (design section 4.11).
  *
- * <p>Error, with rate R and lease time L: within any time T the nodes of a region spend at most R(T
- * + 2L), because a bucket saves up RL and a lease is spent up to L after it was granted. A change
- * of owner adds at most RL. A stand-in that is asked while the owner lives grants half the rate, so
- * that two nodes that both grant exceed the rate by at most a half. Not safe for use by several
- * threads.
+ * <p>Error bound, with rate R and lease time L: within any time T the nodes of a region spend at
+ * most R(T + 2L), because a bucket accumulates up to RL and a lease can be spent up to L after it
+ * was granted. A change of owner adds at most RL. A backup that receives requests while the owner
+ * is alive grants half the rate, so that two granting nodes together exceed the rate by at most a
+ * half. Not thread-safe.
  */
 public final class BudgetOwner {
   private final HostId self;
@@ -22,12 +22,12 @@
   private final Map<String, OwnedBudget> ownedBudgets = new HashMap<>();
   private Map<String, BudgetTerms> terms = Map.of();
 
-  /** Creates an owner that knows no budget. */
+  /** Creates an owner without budgets. */
   public BudgetOwner(HostId self) {
     this.self = self;
   }
 
-  /** Sets the terms of all budgets of the region; others are no longer granted. */
+  /** Sets the terms of all budgets of the region; other budgets are no longer granted. */
   public void configure(Map<String, BudgetTerms> newTerms) {
     terms = Map.copyOf(newTerms);
     ownedBudgets.keySet().retainAll(terms.keySet());
@@ -40,7 +40,9 @@
     owners.setHosts(regionHosts);
   }
 
-  /** Returns the lease that answers a request; of 0 units when none are available. */
+  /**
+   * Handles a request and returns the lease to respond with; it has 0 units if none are available.
+   */
   public BudgetLease handleRequest(HostId from, BudgetLeaseRequest request, long nowNanos) {
     String name = request.budget();
     BudgetTerms t = terms.get(name);
@@ -56,7 +58,7 @@
     return new BudgetLease(name, units, t.leaseTime().toNanos());
   }
 
-  /** Returns the names of the budgets that this node granted from. */
+  /** Returns the names of the budgets from which this node grants leases, sorted. */
   public List<String> grantedBudgets() {
     return ownedBudgets.keySet().stream().sorted().toList();
   }
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetOwnerRanking.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetOwnerRanking.java
@@ -6,7 +6,7 @@
 import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 
-/** Owner of each budget and its stand-in: the first two hosts of the region in rendezvous order. */
+/** Owner and backup of each budget: the first two hosts of the region in rendezvous order. */
 final class BudgetOwnerRanking {
   static final int CANDIDATES = 2;
 
@@ -18,8 +18,9 @@
     candidatesByBudget.clear();
   }
 
-  /** Returns the owner and its stand-in; fewer when the region has fewer nodes. */
+  /** Returns the owner and its backup; fewer hosts if the region has fewer nodes. */
   List<HostId> candidatesFor(String budget) {
-    return candidatesByBudget.computeIfAbsent(budget, b -> RendezvousHash.rank("budget/" + b, setHosts, CANDIDATES));
+    return candidatesByBudget.computeIfAbsent(
+        budget, b -> RendezvousHash.rank("budget/" + b, setHosts, CANDIDATES));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetTerms.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetTerms.java
@@ -3,17 +3,25 @@
 import java.time.Duration;
 
 /**
- * Terms of one budget.
+ * Rate and lease time of one budget.
  *
  * @param unitsPerSecond units that all nodes of the region together may spend per second, at least
  *     0
- * @param leaseTime how long a lease may be spent; also the time for which an idle budget saves up
+ * @param leaseTime time for which a lease may be spent; also the time for which an idle budget
+ *     accumulates units
  */
 public record BudgetTerms(double unitsPerSecond, Duration leaseTime) {
-  /** Lease time of the design; a longer one costs fewer messages and gives a larger error. */
+  /**
+   * Default lease time; a longer one needs fewer messages and increases the error (see {@link
+   * BudgetOwner}).
+   */
   public static final Duration DEFAULT_LEASE_TIME = Duration.ofSeconds(1);
 
-  /** Checks the values; throws {@link IllegalArgumentException} when one is out of range. */
+  /**
+   * Checks the values.
+   *
+   * @throws IllegalArgumentException if a value is out of range
+   */
   public BudgetTerms {
     if (!(unitsPerSecond >= 0) || Double.isInfinite(unitsPerSecond)) {
       throw new IllegalArgumentException(
@@ -29,7 +37,10 @@
     return new BudgetTerms(unitsPerSecond, DEFAULT_LEASE_TIME);
   }
 
-  /** Returns the units that an idle budget saves up; at least 1, so that slow budgets work. */
+  /**
+   * Returns the units that an idle budget accumulates; at least 1, so that budgets with a low rate
+   * can grant whole units.
+   */
   double capacity() {
     return Math.max(1, unitsPerSecond * leaseTime.toNanos() / 1e9);
   }
--- a/core/src/main/java/org/mustardlatch/core/budget/LeasedBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/LeasedBudget.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** What a client holds of one budget, and the spends that wait for a lease. */
+/**
+ * Leases that a client has of one budget, the spends that wait for a lease, and the state of its
+ * lease requests.
+ */
 final class LeasedBudget {
   private static final class Lease {
     double units;
@@ -34,7 +37,10 @@
     this.windowStartNanos = now;
   }
 
-  /** Takes units when they are held; otherwise the spend waits. */
+  /**
+   * Acquires units and returns true if enough are leased; otherwise queues the spend and returns
+   * false.
+   */
   boolean spend(long ticket, double units, long now) {
     recordDemand(units, now);
     if (waitingSpends.isEmpty() && tryAcquire(units, now)) {
@@ -49,16 +55,17 @@
     leases.addLast(new Lease(units, now + validNanos));
   }
 
-  /** Grants the waiting spends that fit what is held, in order. */
+  /** Grants waiting spends in order while the leased units suffice. */
   void grantWaiting(long now, Consumer<BudgetCommand> out) {
     while (!waitingSpends.isEmpty() && tryAcquire(waitingSpends.getFirst().units(), now)) {
       out.accept(new BudgetCommand.Granted(waitingSpends.removeFirst().ticket()));
     }
   }
 
-  /** Refuses the spends that waited for too long. */
+  /** Refuses the spends that have waited for at least {@code maxWaitNanos}. */
   void refuseExpired(long now, long maxWaitNanos, Consumer<BudgetCommand> out) {
-    while (!waitingSpends.isEmpty() && now - waitingSpends.getFirst().queuedNanos() >= maxWaitNanos) {
+    while (!waitingSpends.isEmpty()
+        && now - waitingSpends.getFirst().queuedNanos() >= maxWaitNanos) {
       out.accept(new BudgetCommand.Refused(waitingSpends.removeFirst().ticket()));
     }
   }
@@ -78,18 +85,21 @@
     return Math.max(previousDemand, currentDemand);
   }
 
-  /** Returns the units to ask for, 0 when enough is held. */
+  /** Returns the units to request; 0 if enough are leased. */
   double unitsToRequest(long now) {
-    double pending = waitingSpends.stream().mapToDouble(WaitingSpend::units).sum();
-    double held = availableUnits(now);
-    double expected = expectedUnits(now);
-    if (pending == 0 && held >= expected / 2) {
+    double waitingUnits = waitingSpends.stream().mapToDouble(WaitingSpend::units).sum();
+    double available = availableUnits(now);
+    double expectedUnits = expectedUnits(now);
+    if (waitingUnits == 0 && available >= expectedUnits / 2) {
       return 0;
     }
-    return Math.max(0, pending + expected - held);
+    return Math.max(0, waitingUnits + expectedUnits - available);
   }
 
-  /** Returns whether nothing is held, waits or was spent lately. */
+  /**
+   * Returns whether no units are leased, no spends wait and none were made within the last two
+   * windows.
+   */
   boolean isIdle(long now) {
     return waitingSpends.isEmpty() && availableUnits(now) == 0 && expectedUnits(now) == 0;
   }
@@ -98,12 +108,12 @@
     if (availableUnits(now) < units) {
       return false;
     }
-    double left = units;
-    while (left > 0 && !leases.isEmpty()) {
+    double remaining = units;
+    while (remaining > 0 && !leases.isEmpty()) {
       Lease l = leases.getFirst();
-      double part = Math.min(left, l.units);
+      double part = Math.min(remaining, l.units);
       l.units -= part;
-      left -= part;
+      remaining -= part;
       if (l.units <= 0) {
         leases.removeFirst();
       }
--- a/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.mustardlatch.core.model.HostId;
 
-/** A token bucket whose tokens go to clients as leases, shared by max-min fairness. */
+/** Token bucket whose tokens are leased to clients, shared by max-min fairness. */
 final class OwnedBudget {
   private record Demand(double units, long requestedNanos) {}
 
@@ -15,7 +15,7 @@
   private long refilledNanos;
   private long halfRateUntilNanos;
 
-  /** A new owner starts half full, because leases of the owner before it may still be spent. */
+  /** Creates a half-full bucket, because leases of the previous owner may still be spent. */
   OwnedBudget(BudgetTerms terms, long now) {
     this.terms = terms;
     this.tokens = terms.capacity() / 2;
@@ -28,30 +28,36 @@
     tokens = Math.min(tokens, newTerms.capacity());
   }
 
-  /** Another node may still grant from this budget; half the rate until a lease time from now. */
+  /**
+   * Halves the rate for one lease time from now, because another node may still grant from this
+   * budget.
+   */
   void halveRate(long now) {
     halfRateUntilNanos = now + terms.leaseTime().toNanos();
   }
 
-  /** Returns the units granted; 0, or at least the lesser of 1 and what was wanted. */
-  double grant(HostId from, double wanted, long now) {
+  /** Returns the units granted; 0, or at least the lesser of 1 and the requested units. */
+  double grant(HostId from, double requestedUnits, long now) {
     refill(now);
-    demands.put(from, new Demand(wanted, now));
+    demands.put(from, new Demand(requestedUnits, now));
     dropStaleDemands(now);
-    double least = Math.min(1, wanted);
-    if (tokens < least || wanted <= 0) {
+    double minimum = Math.min(1, requestedUnits);
+    if (tokens < minimum || requestedUnits <= 0) {
       return 0;
     }
-    double units = Math.min(Math.min(wanted, tokens), Math.max(least, fairShare()));
+    double units = Math.min(Math.min(requestedUnits, tokens), Math.max(minimum, fairShare()));
     tokens -= units;
     return units;
   }
 
   private void refill(long now) {
-    double full = terms.unitsPerSecond();
-    long cautious = Math.max(0, Math.min(now, halfRateUntilNanos) - refilledNanos);
-    long normal = Math.max(0, now - refilledNanos - cautious);
-    tokens = Math.min(terms.capacity(), tokens + full * (cautious / 2.0 + normal) / 1e9);
+    double unitsPerSecond = terms.unitsPerSecond();
+    long halfRateNanos = Math.max(0, Math.min(now, halfRateUntilNanos) - refilledNanos);
+    long fullRateNanos = Math.max(0, now - refilledNanos - halfRateNanos);
+    tokens =
+        Math.min(
+            terms.capacity(),
+            tokens + unitsPerSecond * (halfRateNanos / 2.0 + fullRateNanos) / 1e9);
     refilledNanos = now;
   }
 
@@ -64,16 +70,20 @@
     }
   }
 
-  /** Returns the largest lease such that leases up to it, one for each client, fit the rate. */
+  /**
+   * Returns the largest lease size such that one lease of at most this size for each client fits
+   * the capacity.
+   */
   private double fairShare() {
-    double[] wanted = demands.values().stream().mapToDouble(Demand::units).sorted().toArray();
-    double left = terms.capacity();
-    for (int i = 0; i < wanted.length; i++) {
-      double equal = left / (wanted.length - i);
-      if (wanted[i] > equal) {
+    double[] requestedUnits =
+        demands.values().stream().mapToDouble(Demand::units).sorted().toArray();
+    double remaining = terms.capacity();
+    for (int i = 0; i < requestedUnits.length; i++) {
+      double equal = remaining / (requestedUnits.length - i);
+      if (requestedUnits[i] > equal) {
         return equal;
       }
-      left -= wanted[i];
+      remaining -= requestedUnits[i];
     }
     return Double.MAX_VALUE;
   }
--- a/core/src/main/java/org/mustardlatch/core/budget/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Budgets that the nodes of a region share: an owner grants leases of units, clients spend what
- * they hold. Events and the current time in, commands out.
+ * Rate budgets shared by the nodes of a region: an owner grants leases of units, clients spend the
+ * leased units. Pure state machines that map messages and the current time to commands.
  */
 @NullMarked
 package org.mustardlatch.core.budget;
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessages.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessages.java
@@ -37,7 +37,11 @@
 
   static ShardEvent.FinishRequested finishRequest(LedgerFinish m) {
     return new ShardEvent.FinishRequested(
-        new LedgerKey(m.key()), m.nonce(), RecordState.valueOf(m.state()), m.status(), m.response());
+        new LedgerKey(m.key()),
+        m.nonce(),
+        RecordState.valueOf(m.state()),
+        m.status(),
+        m.response());
   }
 
   static LedgerStarted answer(Attempt a, StartResult result) {
--- a/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
@@ -11,7 +11,10 @@
 import org.mustardlatch.core.peer.MembershipMessage.State;
 import org.mustardlatch.core.peer.MembershipMessage.Suspicion;
 
-/** Observes neighbours, votes against silent ones and declares suspects dead. */
+/**
+ * Failure detector of one node: probes the nodes that it observes, votes that silent ones have
+ * failed, marks them suspect and declares suspects dead that do not refute in time.
+ */
 final class FailureDetector {
   private final MembershipState node;
   private final RumorMerger merger;
@@ -33,7 +36,7 @@
     expireStates(now, out);
   }
 
-  /** A frame of a peer arrived. */
+  /** Records that a frame of a peer arrived. */
   void recordFrame(Peer p, long now) {
     if (isolated) {
       isolated = false;
@@ -45,7 +48,7 @@
     }
   }
 
-  /** Another observer misses a peer. */
+  /** Records the vote of another observer that a peer is silent. */
   void recordVote(HostId from, Suspicion s, long now) {
     Peer p = node.peers.get(s.host());
     if (p != null && p.rumor.incarnation() == s.incarnation() && p.rumor.counter() == s.counter()) {
@@ -53,7 +56,11 @@
     }
   }
 
-  /** Silence until now says nothing about the peers, because this node could not hear them. */
+  /**
+   * Restarts the silence timers of all neighbours and the refutation timers of all suspects. Called
+   * when this node could not receive frames, so that the silence before says nothing about the
+   * peers.
+   */
   void restartSilenceTimers(long now) {
     for (Peer p : node.peers.values()) {
       p.clearVotes();
@@ -67,16 +74,16 @@
   }
 
   private void updateRegionReachability(long now) {
-    Map<RegionId, Boolean> silent = new HashMap<>();
+    Map<RegionId, Boolean> silentRegions = new HashMap<>();
     for (Peer p : node.neighbours()) {
       if (p.isLive() && !p.rumor.region().equals(node.self.region())) {
-        silent.merge(
+        silentRegions.merge(
             p.rumor.region(),
             now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER,
             Boolean::logicalAnd);
       }
     }
-    silent.forEach(
+    silentRegions.forEach(
         (region, all) -> {
           if (all) {
             node.regionReachability.markUnreachable(region, now);
@@ -88,18 +95,23 @@
     Collection<Peer> neighbours = node.neighbours();
     boolean nothingHeard =
         neighbours.size() > 1
-            && neighbours.stream().allMatch(p -> now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER);
+            && neighbours.stream()
+                .allMatch(p -> now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER);
     if (nothingHeard && !isolated) {
       isolatedSinceNanos = now;
     }
     isolated = nothingHeard;
   }
 
-  /** Returns whether silence is more likely a fault of this node than the death of all others. */
+  /**
+   * Returns whether the silence of all neighbours is more likely a fault of this node than the
+   * failure of all of them.
+   */
   private boolean isLikelyIsolated(long now) {
     return isolated && now - isolatedSinceNanos < MembershipConstants.UNREACHABLE_GRACE_PERIOD;
   }
 
+  /** Sends a heartbeat to an observed peer that is silent, so that it can acknowledge. */
   private void probeIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     if (now - p.silentSinceNanos > MembershipConstants.PROBE_AFTER
         && now - p.lastProbeNanos > MembershipConstants.URGENT_HEARTBEAT_PERIOD) {
@@ -108,6 +120,7 @@
     }
   }
 
+  /** Votes against a silent peer; marks it suspect once another observer agrees. */
   private void voteIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     RegionId region = p.rumor.region();
     long limit =
@@ -155,7 +168,7 @@
   }
 
   private void expireStates(long now, Consumer<MembershipCommand> out) {
-    List<Peer> gone = new ArrayList<>();
+    List<Peer> expired = new ArrayList<>();
     for (Peer p : node.peers.values()) {
       long age = now - p.stateSinceNanos;
       switch (p.state()) {
@@ -166,7 +179,7 @@
         }
         case DEAD, LEFT -> {
           if (age > MembershipConstants.TOMBSTONE_LIFETIME) {
-            gone.add(p);
+            expired.add(p);
           }
         }
         case ALIVE -> {}
@@ -175,13 +188,16 @@
         markDead(p, now, out);
       }
     }
-    gone.forEach(p -> node.peers.remove(p.host()));
+    expired.forEach(p -> node.peers.remove(p.host()));
   }
 
+  /** Returns whether a suspect must not be declared dead yet. */
   private boolean isDeathDeferred(Peer p, long now) {
-    boolean heardLately =
+    boolean recentlyHeard =
         node.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
-    return heardLately || isLikelyIsolated(now) || node.regionReachability.isUnreachable(p.rumor.region());
+    return recentlyHeard
+        || isLikelyIsolated(now)
+        || node.regionReachability.isUnreachable(p.rumor.region());
   }
 
   private void markDead(Peer p, long now, Consumer<MembershipCommand> out) {
--- a/core/src/main/java/org/mustardlatch/core/membership/FleetJoiner.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FleetJoiner.java
@@ -9,9 +9,10 @@
 import org.mustardlatch.core.peer.MembershipMessage;
 
 /**
- * Finds the fleet through seeds and the list in the object service; either is enough. Later it asks
- * addresses that are not of live nodes now and then, so that two halves of a fleet that forgot each
- * other meet again.
+ * Sends join requests to the seeds and to the addresses listed in the object service; either source
+ * is enough. After the node has joined, it sends one such request every 30 s to an address that
+ * belongs to no live node, so that two halves of a partitioned fleet that removed each other merge
+ * again.
  */
 final class FleetJoiner {
   private final MembershipState node;
--- a/core/src/main/java/org/mustardlatch/core/membership/MemberList.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MemberList.java
@@ -6,11 +6,11 @@
 import org.mustardlatch.core.routing.Member;
 
 /**
- * The live nodes as one node sees them.
+ * Live nodes of the fleet in the view of one node.
  *
- * @param members this node and all others that are not dead and have not left, by host name;
+ * @param members this node and all others that are not dead and have not left, sorted by host name;
  *     includes suspected nodes and, for the first 60 s, those of unreachable regions
- * @param unreachableRegions regions from which nothing is heard
+ * @param unreachableRegions regions from which no frames arrive
  */
 public record MemberList(List<Member> members, Set<RegionId> unreachableRegions) {
   /** Copies the collections. */
--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -15,14 +15,18 @@
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
 /**
- * Membership as one node sees it, design section 4.8. Deterministic: the same events, times and
- * random numbers give the same commands. Not safe for use by several threads.
+ * Membership protocol of one node (design section 4.8): keeps the list of live nodes by heartbeats,
+ * rumors and periodic comparison of views. Deterministic: the same events, times and random numbers
+ * give the same commands. Not thread-safe.
  */
 public final class Membership {
-  /** How often a {@link MembershipEvent.Tick} is expected. */
+  /** Expected interval between {@link MembershipEvent.Tick}s. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(500);
 
-  /** Ticks come a little early or late; a heartbeat that is due within this time goes out now. */
+  /**
+   * Tolerance for early ticks: a heartbeat that is due within this time is sent at the current
+   * tick.
+   */
   private static final long TICK_TOLERANCE = Duration.ofMillis(100).toNanos();
 
   private final MembershipState node;
@@ -36,12 +40,12 @@
   private long lastSyncNanos;
 
   /**
-   * Creates the view of a node that knows nobody yet.
+   * Creates the membership of a node that has not joined yet.
    *
-   * @param incarnation incarnation of this process, greater than those of earlier processes under
-   *     the same host name, at least 1
-   * @param seeds peer addresses to join through, may include its own
-   * @param random chooses seeds and partners of exchanges
+   * @param incarnation incarnation of this process, at least 1 and greater than those of earlier
+   *     processes under the same host name
+   * @param seeds peer addresses to join through; may include this node's own
+   * @param random source for the choice of seeds and of peers to compare views with
    * @param nowNanos current monotonic time
    */
   public Membership(
@@ -66,10 +70,10 @@
   }
 
   /**
-   * Takes one event.
+   * Handles one event.
    *
-   * @param nowNanos current monotonic time, never less than at the call before
-   * @param out receives the commands that follow from it, in order
+   * @param nowNanos current monotonic time, never less than in the previous call
+   * @param out receives the resulting commands in order
    */
   public void handle(MembershipEvent event, long nowNanos, Consumer<MembershipCommand> out) {
     detectPause(nowNanos, out);
@@ -95,29 +99,29 @@
     return reportedMembers;
   }
 
-  /** Returns whether another node answered a request to join. */
+  /** Returns whether another node sent its view or a join request. */
   public boolean joined() {
     return joiner.isJoined();
   }
 
-  /** Returns the nodes that this one exchanges heartbeats with. */
+  /** Returns the nodes with which this node exchanges heartbeats. */
   public List<HostId> neighbours() {
     return node.neighbours().stream().map(Peer::host).toList();
   }
 
-  /** Returns the peer address of a live or recently live node, or null when it is not known. */
+  /** Returns the peer address of a live or recently live node, or null if the host is unknown. */
   public @Nullable String address(HostId host) {
     Peer p = node.peers.get(host);
     return p == null ? null : p.rumor.address();
   }
 
-  /** Returns what is believed about a node, or null when it is not known. */
+  /** Returns the last reported state of a node, or null if the host is unknown. */
   public @Nullable State state(HostId host) {
     Peer p = node.peers.get(host);
     return p == null ? null : p.state();
   }
 
-  /** Returns the state for a dump. */
+  /** Returns the membership state for a diagnostic dump. */
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("incarnation", node.incarnation);
@@ -127,11 +131,12 @@
     all.put("observers", node.observers().stream().map(HostId::value).toList());
     all.put("observed", node.observed().stream().map(p -> p.host().value()).toList());
     all.put(
-        "unreachable_regions", node.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
-    Map<String, Object> known = new LinkedHashMap<>();
+        "unreachable_regions",
+        node.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
+    Map<String, Object> peerStates = new LinkedHashMap<>();
     node.peers.forEach(
         (host, p) ->
-            known.put(
+            peerStates.put(
                 host.value(),
                 Map.of(
                     "state", p.state().name(),
@@ -140,7 +145,7 @@
                     "region", p.rumor.region().value(),
                     "zone", p.rumor.zone().value(),
                     "address", p.rumor.address())));
-    all.put("peers", known);
+    all.put("peers", peerStates);
     return all;
   }
 
@@ -162,7 +167,9 @@
     joiner.tick(now, out);
     detector.tick(now, out);
     long period =
-        node.rumors.isEmpty() ? MembershipConstants.HEARTBEAT_PERIOD : MembershipConstants.URGENT_HEARTBEAT_PERIOD;
+        node.rumors.isEmpty()
+            ? MembershipConstants.HEARTBEAT_PERIOD
+            : MembershipConstants.URGENT_HEARTBEAT_PERIOD;
     if (now - lastHeartbeatNanos >= period - TICK_TOLERANCE) {
       lastHeartbeatNanos = now;
       sendHeartbeats(now, out);
@@ -182,7 +189,7 @@
     }
   }
 
-  /** Compares views with one live neighbour and with one node that is thought dead. */
+  /** Sends the digest of this view to one random neighbour and to one random node in state DEAD. */
   private void sendSyncs(Consumer<MembershipCommand> out) {
     List<Peer> neighbours = new ArrayList<>(node.neighbours());
     List<Peer> dead = node.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
@@ -196,7 +203,8 @@
     }
   }
 
-  private void handleMessage(MembershipEvent.MessageReceived e, long now, Consumer<MembershipCommand> out) {
+  private void handleMessage(
+      MembershipEvent.MessageReceived e, long now, Consumer<MembershipCommand> out) {
     if (!recordFrame(e.from(), e.incarnation(), now)) {
       return;
     }
@@ -222,7 +230,7 @@
     }
   }
 
-  /** Asks a sender that is not known for its view. */
+  /** Sends a digest to an unknown sender, which answers with its view. */
   private void syncIfUnknown(HostId from, Consumer<MembershipCommand> out) {
     if (!node.peers.containsKey(from)) {
       reply(from, new MembershipMessage.Sync(node.digest()), out);
@@ -242,12 +250,12 @@
   }
 
   private List<Rumor> newerThan(List<Rumor> theirs) {
-    Map<HostId, Rumor> known = new HashMap<>();
-    theirs.forEach(r -> known.put(r.host(), r));
+    Map<HostId, Rumor> reportedByHost = new HashMap<>();
+    theirs.forEach(r -> reportedByHost.put(r.host(), r));
     return node.view().stream()
         .filter(
             r -> {
-              Rumor other = known.get(r.host());
+              Rumor other = reportedByHost.get(r.host());
               if (other == null) {
                 return true;
               }
@@ -261,7 +269,7 @@
     out.accept(new MembershipCommand.Send(to, address(to), message));
   }
 
-  /** Returns false when the frame is of an incarnation that was superseded. */
+  /** Records a frame; returns false if its incarnation has been superseded. */
   private boolean recordFrame(HostId from, long incarnation, long now) {
     Peer p = node.peers.get(from);
     if (p == null) {
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipCommand.java
@@ -4,34 +4,35 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.MembershipMessage;
 
-/** Output of {@link Membership}. */
+/** Command of {@link Membership} for its caller to execute. */
 public sealed interface MembershipCommand {
   /**
-   * Send a message to a host.
+   * Sends a message to a host.
    *
-   * @param address address of its peer listener; null to answer over an open connection only
+   * @param address address of its peer listener; null to reply over an open connection only
    */
   record Send(HostId to, @Nullable String address, MembershipMessage message)
       implements MembershipCommand {}
 
-  /** Send a message to whichever node listens on the address. */
+  /** Sends a message to the node that listens on the address, whichever it is. */
   record SendToAddress(String address, MembershipMessage message) implements MembershipCommand {}
 
-  /** The live nodes changed. */
+  /** Reports that the list of live nodes changed. */
   record MembersChanged(MemberList list) implements MembershipCommand {}
 
-  /** A node is dead or has left; connections to it can be closed. */
+  /** Reports that a node is dead or has left, so that connections to it can be closed. */
   record NodeRemoved(HostId host) implements MembershipCommand {}
 
   /**
-   * This node may have been declared dead while it was paused, or an earlier process under its name
-   * had a higher incarnation. It must cancel its own attempts before it accepts new work.
+   * Reports that this node may have been declared dead while it was paused, or that an earlier
+   * process under its name had a higher incarnation. The node must cancel its own attempts before
+   * it accepts new work.
    *
-   * @param incarnation the incarnation from now on
-   * @param pausedNanos length of the pause, nanoseconds; 0 when there was none
+   * @param incarnation new incarnation of this node
+   * @param pausedNanos length of the pause, nanoseconds; 0 if there was none
    */
   record Fenced(long incarnation, long pausedNanos) implements MembershipCommand {}
 
-  /** A node is suspected. */
+  /** Reports that a node became suspect. */
   record Suspected(HostId host) implements MembershipCommand {}
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
@@ -4,19 +4,22 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.MembershipMessage;
 
-/** Input of {@link Membership}. */
+/** Input event of {@link Membership}. */
 public sealed interface MembershipEvent {
-  /** Time passed. Expected every {@link Membership#TICK_PERIOD}; a late one reveals a pause. */
+  /**
+   * Periodic event, expected every {@link Membership#TICK_PERIOD}; a late one means that the
+   * process was paused.
+   */
   record Tick() implements MembershipEvent {}
 
-  /** A membership message arrived. */
+  /** Arrival of a membership message. */
   record MessageReceived(HostId from, long incarnation, MembershipMessage message)
       implements MembershipEvent {}
 
-  /** Any other frame arrived; it is a sign of life. */
+  /** Arrival of any other frame, which shows that the sender is alive. */
   record FrameReceived(HostId from, long incarnation) implements MembershipEvent {}
 
-  /** The object service lists these peer addresses of nodes. */
+  /** Peer addresses of nodes as listed in the object service. */
   record NodesListed(List<String> addresses) implements MembershipEvent {
     /** Copies the list. */
     public NodesListed {
@@ -24,9 +27,9 @@
     }
   }
 
-  /** The manifest revision in force on this node, which heartbeats carry. */
+  /** Change of the active manifest revision of this node, which heartbeats carry. */
   record ActiveRevisionChanged(long revision) implements MembershipEvent {}
 
-  /** This node is about to stop. */
+  /** Announcement that this node is about to stop. */
   record LeaveRequested() implements MembershipEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
@@ -17,7 +17,7 @@
 import org.mustardlatch.core.peer.MembershipMessage.State;
 import org.mustardlatch.core.routing.Member;
 
-/** The state that the parts of {@link Membership} share, and the messages made from it. */
+/** State shared by the parts of {@link Membership}, with the messages and lists built from it. */
 final class MembershipState {
   final NodeIdentity self;
   final Map<HostId, Peer> peers = new TreeMap<>();
@@ -30,7 +30,7 @@
   boolean leaving;
   long selfRumorUntilNanos;
 
-  /** Whether the list of live nodes may differ from the one reported last. */
+  /** Whether the list of live nodes may differ from the last reported one. */
   boolean membersDirty;
 
   private long heartbeatSequence;
@@ -56,7 +56,7 @@
         leaving ? State.LEFT : State.ALIVE);
   }
 
-  /** This node's own rumor changed and must be spread. */
+  /** Queues this node's own rumor after a change, so that it is spread. */
   void selfRumorChanged(long now) {
     rumors.add(selfRumor());
     membersDirty = true;
@@ -80,7 +80,10 @@
     membersDirty = true;
   }
 
-  /** Recomputes the neighbours when the overlay changed; silence of new ones counts from now. */
+  /**
+   * Recomputes the neighbours if the overlay changed; silence of new neighbours is measured from
+   * {@code now}.
+   */
   void refreshNeighbours(long now) {
     if (!neighboursStale) {
       return;
@@ -131,7 +134,8 @@
         new MembershipCommand.Send(
             to.host(),
             to.rumor.address(),
-            new MembershipMessage.Heartbeat(++heartbeatSequence, activeRevision, rumorsFor(to, now))));
+            new MembershipMessage.Heartbeat(
+                ++heartbeatSequence, activeRevision, rumorsFor(to, now))));
   }
 
   void sendAck(HostId to, long sequence, long now, Consumer<MembershipCommand> out) {
@@ -145,17 +149,17 @@
 
   /** Returns the rumors that the next message to a peer carries. */
   List<Rumor> rumorsFor(@Nullable Peer to, long now) {
-    List<Rumor> news = rumors.take(MembershipConstants.MAX_RUMORS, overlay.size());
-    if (now < selfRumorUntilNanos && news.stream().noneMatch(r -> r.host().equals(self.host()))) {
-      news.add(selfRumor());
+    List<Rumor> result = rumors.take(MembershipConstants.MAX_RUMORS, overlay.size());
+    if (now < selfRumorUntilNanos && result.stream().noneMatch(r -> r.host().equals(self.host()))) {
+      result.add(selfRumor());
     }
     if (to != null && to.state() != State.ALIVE) {
-      news.add(to.rumor);
+      result.add(to.rumor);
     }
-    return news;
+    return result;
   }
 
-  /** Returns all that is known, this node's own rumor included. */
+  /** Returns the rumors about all nodes on record, this node's own included. */
   List<Rumor> view() {
     List<Rumor> all = new ArrayList<>(peers.size() + 1);
     all.add(selfRumor());
@@ -163,7 +167,7 @@
     return all;
   }
 
-  /** Returns a digest of the live nodes that does not depend on their order. */
+  /** Returns a digest of the live nodes that is independent of their order. */
   long digest() {
     long sum = leaving ? 0 : digest(selfRumor());
     for (Peer p : peers.values()) {
--- a/core/src/main/java/org/mustardlatch/core/membership/ObserverOverlay.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/ObserverOverlay.java
@@ -14,16 +14,20 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * Who observes whom. A node has 8 observers: 6 of its own region and 2 of other regions, the first
- * ones in rendezvous order for its name; when a region has too few, the others fill up. Kept up to
- * date node by node, because ranking all pairs anew takes 390 times as long.
+ * Overlay that assigns observers to nodes. A node has 8 observers: 6 of its own region and 2 of
+ * other regions, the first ones in rendezvous order for its name; if one group has too few nodes,
+ * the other fills the remaining places. Updated incrementally as nodes are added and removed,
+ * because ranking all pairs again takes 390 times as long.
  */
 final class ObserverOverlay {
   static final int OBSERVERS = 8;
   static final int REMOTE_OBSERVERS = 2;
 
   private record Node(
-      RegionId region, long hash, NavigableSet<ScoredHost> local, NavigableSet<ScoredHost> remote) {}
+      RegionId region,
+      long hash,
+      NavigableSet<ScoredHost> local,
+      NavigableSet<ScoredHost> remote) {}
 
   private final Map<HostId, Node> nodes = new HashMap<>();
 
@@ -31,7 +35,8 @@
     if (nodes.containsKey(host)) {
       return;
     }
-    Node added = new Node(region, RendezvousHash.hash(host.value()), new TreeSet<>(), new TreeSet<>());
+    Node added =
+        new Node(region, RendezvousHash.hash(host.value()), new TreeSet<>(), new TreeSet<>());
     nodes.forEach(
         (other, n) -> {
           offerCandidate(n, host, added);
@@ -58,13 +63,13 @@
     return nodes.size();
   }
 
-  /** Returns the observers of a node, in order of their score; empty when it is not known. */
+  /** Returns the observers of a node, in order of their score; empty if the host is unknown. */
   List<HostId> observersOf(HostId host) {
     Node n = nodes.get(host);
     return n == null ? List.of() : selectObservers(n).stream().map(ScoredHost::host).toList();
   }
 
-  /** Returns the nodes that this one observes. */
+  /** Returns the nodes that the given observer observes. */
   Set<HostId> observedBy(HostId observer) {
     Set<HostId> observed = new LinkedHashSet<>();
     nodes.forEach(
@@ -85,9 +90,10 @@
     return all;
   }
 
-  private static void offerCandidate(Node to, HostId host, Node candidate) {
-    NavigableSet<ScoredHost> best = to.region.equals(candidate.region) ? to.local : to.remote;
-    long score = RendezvousHash.score(to.hash, candidate.hash);
+  private static void offerCandidate(Node target, HostId host, Node candidate) {
+    NavigableSet<ScoredHost> best =
+        target.region.equals(candidate.region) ? target.local : target.remote;
+    long score = RendezvousHash.score(target.hash, candidate.hash);
     if (best.size() == OBSERVERS && score < best.last().score()) {
       return;
     }
--- a/core/src/main/java/org/mustardlatch/core/membership/Peer.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Peer.java
@@ -6,22 +6,26 @@
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
-/** What this node knows about another. */
+/** State that this node keeps about another node: its last rumor, timers and votes. */
 final class Peer {
   Rumor rumor;
 
-  /** Since when the state holds; moved forward while this node could not hear others. */
+  /**
+   * Start of the current state; reset after a period in which this node could not receive frames.
+   */
   long stateSinceNanos;
 
-  /** The last frame from it, or the time from which silence counts. */
+  /** Time of the last frame from the peer, or a later time from which its silence is measured. */
   long silentSinceNanos;
 
-  /** Since when this node votes against it; meaningful while {@link #voting}. */
+  /** Time since which this node votes against the peer; valid while {@link #voting}. */
   long votingSinceNanos;
 
   boolean voting;
   long lastVoteNanos;
   long lastProbeNanos;
+
+  /** Time of the last vote against the peer, by observer. */
   final Map<HostId, Long> votes = new HashMap<>();
 
   Peer(Rumor rumor, long now) {
@@ -39,7 +43,7 @@
     return rumor.state();
   }
 
-  /** Returns whether the node is alive as far as is known; suspected nodes are. */
+  /** Returns whether the last reported state is ALIVE or SUSPECT. */
   boolean isLive() {
     return rumor.state() == State.ALIVE || rumor.state() == State.SUSPECT;
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/RegionReachability.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RegionReachability.java
@@ -7,19 +7,19 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * Which regions are silent as a whole. A region whose every neighbour of this node is silent is
- * unreachable; after 60 s its nodes count as gone, without being declared dead, so that no rumors
- * are needed when it can be heard again.
+ * Reachability of the other regions. A region is unreachable if all of this node's neighbours in it
+ * are silent; after 60 s its nodes are excluded from the member list without being declared dead,
+ * so that no rumors are needed when the region becomes reachable again.
  */
 final class RegionReachability {
   private final Map<RegionId, Long> unreachableSince = new HashMap<>();
 
-  /** A frame arrived from a region; returns whether the region was unreachable. */
+  /** Records a frame from a region; returns whether the region was unreachable before. */
   boolean markReachable(RegionId region) {
     return unreachableSince.remove(region) != null;
   }
 
-  /** All neighbours in a region are silent. */
+  /** Records that all neighbours in a region are silent. */
   void markUnreachable(RegionId region, long now) {
     unreachableSince.putIfAbsent(region, now);
   }
@@ -28,12 +28,18 @@
     return unreachableSince.containsKey(region);
   }
 
-  /** Returns whether the region has been unreachable for so long that its nodes count as gone. */
+  /**
+   * Returns whether the region has been unreachable for so long that its nodes are excluded from
+   * the member list.
+   */
   boolean isExcluded(RegionId region, long now) {
     return unreachableNanos(region, now) > MembershipConstants.UNREACHABLE_GRACE_PERIOD;
   }
 
-  /** Returns whether the region has been unreachable for so long that its nodes are forgotten. */
+  /**
+   * Returns whether the region has been unreachable for so long that its nodes are to be declared
+   * dead.
+   */
   boolean isPurgeDue(RegionId region, long now) {
     return unreachableNanos(region, now) > MembershipConstants.UNREACHABLE_PURGE_DELAY;
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/RendezvousHash.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RendezvousHash.java
@@ -15,7 +15,10 @@
 
   private RendezvousHash() {}
 
-  /** Returns at most {@code count} hosts, the owner of the key first. */
+  /**
+   * Returns the first {@code count} hosts in rank order for the key, its owner first; fewer if
+   * there are fewer hosts.
+   */
   public static List<HostId> rank(String key, Collection<HostId> hosts, int count) {
     long k = hash(key);
     return hosts.stream()
@@ -26,7 +29,7 @@
         .toList();
   }
 
-  /** Returns the owner of the key, or empty when there are no hosts. */
+  /** Returns the owner of the key, or empty if there are no hosts. */
   public static Optional<HostId> owner(String key, Collection<HostId> hosts) {
     return rank(key, hosts, 1).stream().findFirst();
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
@@ -5,7 +5,10 @@
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
-/** Merges rumors of others into the state, and refutes those about this node. */
+/**
+ * Merges received rumors into the membership state and refutes those that report this node as
+ * suspect, dead or left.
+ */
 final class RumorMerger {
   private final MembershipState node;
 
@@ -25,7 +28,7 @@
 
   private void mergeSelfRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
     if (r.incarnation() > node.incarnation) {
-      // An earlier process under this name had a clock that was ahead.
+      // The clock of an earlier process under this name was ahead.
       raiseIncarnation(r.incarnation() + 1, 0, now, out);
     } else if (r.incarnation() == node.incarnation
         && r.counter() >= node.refutationCounter
@@ -36,7 +39,7 @@
     }
   }
 
-  /** Starts a new incarnation; attempts of the earlier one are void. */
+  /** Starts a new incarnation; attempts of the previous one must be cancelled. */
   void raiseIncarnation(long to, long pausedNanos, long now, Consumer<MembershipCommand> out) {
     node.incarnation = to;
     node.refutationCounter = 0;
@@ -47,7 +50,8 @@
   private void mergePeerRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
     Peer p = node.peers.get(r.host());
     if (p == null) {
-      // Unknown dead nodes are not recorded, or their records would be passed on without end.
+      // Unknown dead nodes are not recorded; otherwise nodes would keep passing on their records
+      // forever.
       if (r.state() == State.ALIVE || r.state() == State.SUSPECT) {
         Peer added = new Peer(r, now);
         node.peers.put(r.host(), added);
@@ -56,8 +60,8 @@
       }
       return;
     }
-    int order = compareVersions(r, p.rumor);
-    if (order > 0 || (order == 0 && r.state().compareTo(p.state()) > 0)) {
+    int versionOrder = compareVersions(r, p.rumor);
+    if (versionOrder > 0 || (versionOrder == 0 && r.state().compareTo(p.state()) > 0)) {
       updatePeer(p, r, now, out);
     }
   }
@@ -65,7 +69,8 @@
   private void updatePeer(Peer p, Rumor r, long now, Consumer<MembershipCommand> out) {
     boolean wasLive = p.isLive();
     boolean wasAlive = p.state() == State.ALIVE;
-    // A death that was not announced by a suspicion becomes one, so that the node can refute it.
+    // A death without a preceding suspicion is recorded as a suspicion, so that the node can refute
+    // it.
     State state = r.state() == State.DEAD && wasAlive ? State.SUSPECT : r.state();
     setRumor(p, Peer.withState(r, state), now);
     if (p.isLive() && !wasLive) {
@@ -83,7 +88,7 @@
     }
   }
 
-  /** Gives a peer a new rumor and spreads it. */
+  /** Replaces the rumor about a peer, resets its votes and queues the rumor for sending. */
   void setRumor(Peer p, Rumor rumor, long now) {
     node.membersDirty |= rumor.incarnation() != p.rumor.incarnation();
     p.rumor = rumor;
@@ -92,7 +97,7 @@
     node.rumors.add(rumor);
   }
 
-  /** Compares by incarnation and refutation counter. */
+  /** Compares by incarnation, then by refutation counter. */
   static int compareVersions(Rumor a, Rumor b) {
     int byIncarnation = Long.compare(a.incarnation(), b.incarnation());
     return byIncarnation != 0 ? byIncarnation : Long.compare(a.counter(), b.counter());
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
@@ -8,7 +8,7 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 
-/** Rumors that still have to be passed on, the least often sent first. */
+/** Queue of rumors that this node still has to send; the least often sent have priority. */
 final class RumorQueue {
   private static final class Entry {
     final Rumor rumor;
@@ -21,7 +21,7 @@
 
   private final Map<HostId, Entry> entries = new LinkedHashMap<>();
 
-  /** Adds a rumor; replaces an earlier one about the same host. */
+  /** Adds a rumor, replacing an earlier one about the same host. */
   void add(Rumor rumor) {
     entries.put(rumor.host(), new Entry(rumor));
   }
@@ -34,7 +34,10 @@
     return entries.size();
   }
 
-  /** Returns the rumors for one message and counts them as sent. */
+  /**
+   * Returns at most {@code max} rumors for one message, counts them as sent and drops those that
+   * were sent often enough.
+   */
   List<Rumor> take(int max, int fleetSize) {
     if (entries.isEmpty()) {
       return new ArrayList<>();
@@ -55,7 +58,7 @@
     return rumors;
   }
 
-  /** Returns how often each node sends a rumor in a fleet of this size. */
+  /** Returns how many times each node sends a rumor in a fleet of this size. */
   static int maxTransmissions(int fleetSize) {
     int log = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, fleetSize));
     return MembershipConstants.RETRANSMIT_FACTOR * log;
--- a/core/src/main/java/org/mustardlatch/core/peer/AdmissionMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/AdmissionMessage.java
@@ -8,12 +8,15 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** Messages between an entry node and the admitting node of a cell. */
+/**
+ * Messages between an entry node (the node that holds the caller's connection) and the admitting
+ * node of a cell (the node that admits work to the engines of one model in one region).
+ */
 public sealed interface AdmissionMessage extends PeerMessage {
   /**
-   * Asks for a reservation.
+   * Requests a reservation.
    *
-   * @param cell cell that is asked
+   * @param cell cell that receives the request
    * @param firstTokenBudgetNanos time left until the first-token deadline, nanoseconds
    * @param finalBudgetNanos time left until the final deadline, nanoseconds
    * @param excluded upstreams that must not be used, for example after a failure
@@ -39,10 +42,10 @@
   }
 
   /**
-   * Asks for another decode engine for a KV cache that was already exported.
+   * Requests another decode engine for a KV cache that was already exported.
    *
-   * @param cell cell that is asked
-   * @param source prefill engine that holds the KV cache
+   * @param cell cell that receives the request
+   * @param source prefill engine that retains the KV cache
    * @param kvBudgetNanos time left until the KV cache expires, nanoseconds
    * @param excluded upstreams that must not be used
    */
@@ -65,20 +68,20 @@
   }
 
   /**
-   * The request waits in the queue of the cell; a grant or a refusal follows.
+   * Reports that the request waits in the queue of the cell; a grant or a refusal follows.
    *
    * @param predictedWaitNanos predicted time until the grant, nanoseconds
    */
   record ReserveQueued(AttemptId attempt, long predictedWaitNanos, CellSummary summary)
       implements AdmissionMessage {}
 
-  /** The sender no longer wants the reservation that it asked for and was not granted yet. */
+  /** Withdraws a request for a reservation that was not granted yet. */
   record ReserveWithdraw(AttemptId attempt, String cell) implements AdmissionMessage {}
 
   /**
-   * A reservation.
+   * Grants a reservation.
    *
-   * @param validNanos how long it lasts unless renewed, nanoseconds
+   * @param validNanos lifetime of the reservation unless renewed, nanoseconds
    */
   record ReserveGranted(
       AttemptId attempt,
@@ -88,22 +91,24 @@
       CellSummary summary)
       implements AdmissionMessage {}
 
-  /** No reservation. The summary lets the asker choose better next time. */
+  /**
+   * Refuses a reservation. The summary helps the requester to choose a cell for its next request.
+   */
   record ReserveRefused(
       AttemptId attempt, ErrorCode code, long retryAfterNanos, CellSummary summary)
       implements AdmissionMessage {}
 
-  /** The attempt goes on; its reservation must be kept. Also sent to a new admitting node. */
+  /** Renews the reservation of an attempt that continues. Also sent to a new admitting node. */
   record ReservationRenew(
       AttemptId attempt, String cell, UpstreamId upstream, Stage stage, int tokensSoFar)
       implements AdmissionMessage {}
 
-  /** The attempt is over on this upstream; its reservation is free. */
+  /** Releases the reservation of an attempt that ended on this upstream. */
   record ReservationRelease(AttemptId attempt, String cell, UpstreamId upstream, Outcome outcome)
       implements AdmissionMessage {}
 
   /**
-   * Capacity of a cell.
+   * Reports the free capacity of a cell.
    *
    * @param freeSlots decode slots without a reservation
    * @param predictedWaitNanos predicted wait of a new request before its prefill, nanoseconds
@@ -111,14 +116,14 @@
   record CellSummary(String cell, int freeSlots, long predictedWaitNanos)
       implements AdmissionMessage {}
 
-  /** How far an attempt has come. */
+  /** Stage that an attempt has reached. */
   enum Stage {
     PREFILL,
     TRANSFER,
     DECODE
   }
 
-  /** How an attempt ended. */
+  /** Outcome of an attempt. */
   enum Outcome {
     FINISHED,
     CANCELLED,
--- a/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.peer;
 
-/** Messages that share fleet-wide budgets. */
+/** Messages for leases of budgets that the nodes of a region share. */
 public sealed interface BudgetMessage extends PeerMessage {
   /**
-   * Asks the owner of a budget for units.
+   * Requests units from the owner of a budget.
    *
    * @param budget name of the budget, for example {@code workspace/vevstua}
    * @param requestedUnits units that the node expects to spend within one lease time
@@ -11,10 +11,10 @@
   record BudgetLeaseRequest(String budget, double requestedUnits) implements BudgetMessage {}
 
   /**
-   * Units that the receiver may spend.
+   * Grants units that the receiver may spend.
    *
    * @param units units granted, may be 0
-   * @param validNanos how long they may be spent, nanoseconds
+   * @param validNanos time for which the units may be spent, nanoseconds
    */
   record BudgetLease(String budget, double units, long validNanos) implements BudgetMessage {}
 }
--- a/core/src/main/java/org/mustardlatch/core/peer/EvidenceMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/EvidenceMessage.java
@@ -4,9 +4,9 @@
 import org.mustardlatch.core.model.Fingerprint;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Messages about requests that crash engines, and about upstreams that leave. */
+/** Messages about requests that crash engines, and about leaving (draining) upstreams. */
 public sealed interface EvidenceMessage extends PeerMessage {
-  /** An engine crashed while it ran these requests. */
+  /** Reports that an engine crashed while it ran these requests. */
   record CrashReport(UpstreamId upstream, String crashId, List<Fingerprint> running)
       implements EvidenceMessage {
     /** Copies the list. */
@@ -15,20 +15,20 @@
     }
   }
 
-  /** Asks the owner of a suspect fingerprint whether it may run now. */
+  /** Requests permission to run a suspect fingerprint from its owner. */
   record RunRequest(Fingerprint fingerprint, String attempt) implements EvidenceMessage {}
 
-  /** Answer to a run request. */
+  /** Responds to a {@link RunRequest}. */
   record RunPermission(Fingerprint fingerprint, String attempt, Verdict verdict)
       implements EvidenceMessage {}
 
-  /** A suspect ran to its end without a crash. */
+  /** Reports that a suspect ran to completion without a crash. */
   record Cleared(Fingerprint fingerprint) implements EvidenceMessage {}
 
-  /** The first sign that an upstream is leaving. */
+  /** Reports the first sign that an upstream is leaving. */
   record LeavingNotice(UpstreamId upstream) implements EvidenceMessage {}
 
-  /** Whether a suspect may run. */
+  /** Decision on whether a suspect may run. */
   enum Verdict {
     RUN,
     WAIT,
--- a/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
@@ -2,27 +2,31 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Messages between an entry node and the node that writes a ledger shard. */
+/**
+ * Messages between an entry node and the node that writes a shard of the ledger, which records
+ * attempts of requests with an idempotency key.
+ */
 public sealed interface LedgerMessage extends PeerMessage {
   /**
-   * Asks for a record that the attempt started.
+   * Requests a record that the attempt started.
    *
    * @param key digest of workspace and idempotency key, 32 hexadecimal digits
-   * @param nonce names the attempt; never used twice
-   * @param requestDigest digest of method, path and body, to detect reuse of a key
+   * @param nonce unique identifier of the attempt; never reused
+   * @param requestDigest digest of method, path and body, used to detect reuse of a key for another
+   *     request
    */
   record LedgerStart(int shard, String key, String nonce, String requestDigest)
       implements LedgerMessage {}
 
   /**
-   * Answer to a start or a finish.
+   * Responds to a {@link LedgerStart} or {@link LedgerFinish}.
    *
-   * @param state STARTED, FINISHED, UNKNOWN or CANCELLED, the state of the record; REFUSED when the
-   *     owner made no record and never will for this message; REUSED when the key was used with
+   * @param state STARTED, FINISHED, UNKNOWN or CANCELLED, the state of the record; REFUSED if the
+   *     owner made no record and never will for this message; REUSED if the key was used with
    *     another request digest
-   * @param nonce the asked attempt when the record is its own, else empty
-   * @param status HTTP status of the recorded answer; 0 when there is none
-   * @param response the recorded answer, or null
+   * @param nonce nonce of the requested attempt if the record is its own, otherwise empty
+   * @param status HTTP status of the recorded response; 0 if there is none
+   * @param response recorded response, or null
    */
   record LedgerStarted(
       String key,
@@ -34,7 +38,8 @@
       implements LedgerMessage {}
 
   /**
-   * Records the end of an attempt; answered by {@link LedgerStarted} once it is stored, else not.
+   * Records the end of an attempt. Acknowledged by {@link LedgerStarted} only once the record is
+   * stored.
    *
    * @param state FINISHED or UNKNOWN
    */
--- a/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
@@ -5,9 +5,9 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.ZoneId;
 
-/** Messages of the failure detector. */
+/** Messages of the membership protocol. */
 public sealed interface MembershipMessage extends PeerMessage {
-  /** What a node believes about another. */
+  /** State of a node as reported by another. */
   enum State {
     ALIVE,
     SUSPECT,
@@ -16,9 +16,10 @@
   }
 
   /**
-   * One belief about one node.
+   * Gossip about the state of one node.
    *
-   * @param address host and port of the node's peer listener, for example {@code 10.0.0.1:7100}
+   * @param address host and port of the peer listener of the node, for example {@code
+   *     10.0.0.1:7100}
    * @param incarnation grows with every start of the node and every pause after which others may
    *     have declared it dead; a higher one overrides a lower one
    * @param counter grows with every refutation within an incarnation; a higher one overrides a
@@ -34,10 +35,10 @@
       State state) {}
 
   /**
-   * Sign of life with news.
+   * Shows that the sender is alive, and carries rumors.
    *
-   * @param sequence counts the sender's heartbeats to this receiver
-   * @param configRevision manifest revision that the sender has in force; 0 for none
+   * @param sequence number of heartbeats that the sender has sent
+   * @param configRevision active manifest revision of the sender; 0 for none
    */
   record Heartbeat(long sequence, long configRevision, List<Rumor> rumors)
       implements MembershipMessage {
@@ -47,7 +48,7 @@
     }
   }
 
-  /** Answer to a heartbeat. */
+  /** Acknowledges a heartbeat. */
   record HeartbeatAck(long sequence, long configRevision, List<Rumor> rumors)
       implements MembershipMessage {
     /** Copies the list. */
@@ -56,13 +57,15 @@
     }
   }
 
-  /** Asks for all that the receiver knows; sent by a node that joins. */
+  /** Requests the view of the receiver; sent by a node that joins. */
   record Join(Rumor self) implements MembershipMessage {}
 
   /**
-   * The view of the sender, in answer to a join or to a digest that differs.
+   * Carries rumors of the view of the sender, in response to a join, a different digest or another
+   * view.
    *
-   * @param replyRequested whether the receiver must answer with the rumors that are newer in its view
+   * @param replyRequested whether the receiver must reply with the rumors that are newer in its
+   *     view
    */
   record View(List<Rumor> rumors, boolean replyRequested) implements MembershipMessage {
     /** Copies the list. */
@@ -72,15 +75,16 @@
   }
 
   /**
-   * The sender observes the host and has missed its heartbeats. Sent to the other observers.
+   * Votes that a host has failed. Sent by an observer that missed its heartbeats to the other
+   * observers.
    *
-   * @param incarnation incarnation of the host that is silent
-   * @param counter its refutation counter; a suspicion of an earlier one is void
+   * @param incarnation incarnation of the silent host
+   * @param counter refutation counter of the host; a vote with an outdated counter is ignored
    */
   record Suspicion(HostId host, long incarnation, long counter) implements MembershipMessage {}
 
   /**
-   * Compares views; the receiver answers with its view when its digest differs.
+   * Compares views; the receiver responds with its view if its digest differs.
    *
    * @param digest 64-bit digest of the sender's view
    */
--- a/core/src/main/java/org/mustardlatch/core/peer/PeerMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/PeerMessage.java
@@ -1,6 +1,6 @@
 package org.mustardlatch.core.peer;
 
-/** A message from one node to another. */
+/** Message from one node to another. */
 public sealed interface PeerMessage
     permits MembershipMessage,
         RolloutMessage,
--- a/core/src/main/java/org/mustardlatch/core/peer/RolloutMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/RolloutMessage.java
@@ -1,20 +1,20 @@
 package org.mustardlatch.core.peer;
 
-/** Messages that spread the manifest. */
+/** Messages that distribute the manifest (the configuration of the fleet). */
 public sealed interface RolloutMessage extends PeerMessage {
   /**
-   * The sender has this revision in force.
+   * Offers the active revision of the sender.
    *
    * @param digest SHA-256 of the text, lower-case hexadecimal
    */
   record ConfigOffer(long revision, String digest) implements RolloutMessage {}
 
-  /** Asks for the text of a revision, or of a later one. */
+  /** Requests the text of a revision or of a later one. */
   record ConfigFetch(long revision) implements RolloutMessage {}
 
-  /** The text of a revision. */
+  /** Carries the text of a revision. */
   record ConfigBody(long revision, String text) implements RolloutMessage {}
 
-  /** The sender now has this revision in force. */
+  /** Reports that the sender has activated this revision. */
   record ConfigApplied(long revision) implements RolloutMessage {}
 }
--- a/core/src/main/java/org/mustardlatch/core/peer/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Messages between nodes as immutable values. Times in messages are durations, never points in
- * time, because monotonic clocks of two processes can't be compared.
+ * time, because the monotonic clocks of two processes cannot be compared.
  */
 @NullMarked
 package org.mustardlatch.core.peer;
--- a/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
@@ -8,26 +8,27 @@
 import org.mustardlatch.core.model.Fingerprint;
 
 /**
- * Which request contents were on engines that crashed, as one node knows it. Two different crashes
- * quarantine a fingerprint. Evidence ends 10 minutes after the last crash.
+ * Record that one node keeps of the request contents (fingerprints) that were running on engines
+ * when they crashed. Two different crashes quarantine a fingerprint. Evidence expires 10 minutes
+ * after the last crash.
  */
 public final class CrashEvidence {
-  /** How long evidence and quarantine last after the last crash, nanoseconds. */
+  /** Lifetime of evidence and quarantine after the last crash, nanoseconds. */
   public static final long LIFETIME_NANOS = 600_000_000_000L;
 
-  /** Crashes after which a fingerprint is quarantined. */
+  /** Number of different crashes after which a fingerprint is quarantined. */
   public static final int QUARANTINE_CRASHES = 2;
 
-  /** Fingerprints kept; beyond that the oldest evidence is dropped. */
+  /** Maximum number of fingerprints; beyond that the oldest evidence is dropped. */
   public static final int MAX_FINGERPRINTS = 20_000;
 
-  /** What is known about a fingerprint. */
+  /** Level of suspicion against a fingerprint. */
   public enum SuspicionLevel {
-    /** No crash is known. */
+    /** No crash is on record. */
     CLEAN,
-    /** It was on one engine that crashed, perhaps with others. */
+    /** The fingerprint was running on one engine that crashed, possibly along with others. */
     SUSPECT,
-    /** It must not run. */
+    /** The fingerprint must not run. */
     QUARANTINED
   }
 
@@ -43,9 +44,9 @@
 
   /**
    * Records that an engine crashed while it ran these fingerprints. The same crash counts once,
-   * however often it is reported.
+   * even if it is reported several times.
    *
-   * @param crashId name of the crash, unique in the fleet
+   * @param crashId identifier of the crash, unique in the fleet
    * @param nowNanos monotonic time of this node
    */
   public void recordCrash(String crashId, List<Fingerprint> running, long nowNanos) {
@@ -58,22 +59,27 @@
         e.crashIds.add(crashId);
       }
       e.lastCrashNanos = nowNanos;
-      // Insertion order is order of the last crash, so the eldest entry is the first to expire.
+      // Entries are ordered by their last crash, so the eldest one is the first to expire.
       entries.put(f, e);
     }
     evictOldest(nowNanos);
   }
 
-  /** Returns what is known about a fingerprint now. */
+  /** Returns the suspicion level of a fingerprint. */
   public SuspicionLevel suspicionLevel(Fingerprint fingerprint, long nowNanos) {
     Entry e = entries.get(fingerprint);
     if (e == null || isExpired(e, nowNanos)) {
       return SuspicionLevel.CLEAN;
     }
-    return e.crashIds.size() >= QUARANTINE_CRASHES ? SuspicionLevel.QUARANTINED : SuspicionLevel.SUSPECT;
+    return e.crashIds.size() >= QUARANTINE_CRASHES
+        ? SuspicionLevel.QUARANTINED
+        : SuspicionLevel.SUSPECT;
   }
 
-  /** Forgets a suspect that ran to its end without a crash; a quarantine stays. */
+  /**
+   * Removes the evidence against a suspect that ran to completion without a crash; a quarantine
+   * stays.
+   */
   public void clear(Fingerprint fingerprint) {
     Entry e = entries.get(fingerprint);
     if (e != null && e.crashIds.size() < QUARANTINE_CRASHES) {
--- a/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRunPermissions.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRunPermissions.java
@@ -6,11 +6,11 @@
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 
 /**
- * Permissions that the owner of suspect fingerprints gave. At most one attempt of a suspect runs at
- * a time, so that a second crash is known before the next attempt starts.
+ * Permissions granted by the owner of suspect fingerprints. At most one attempt of a suspect runs
+ * at a time, so that a second crash is recorded before the next attempt starts.
  */
 public final class SuspectRunPermissions {
-  /** A permission ends after this time even when no end was heard of, nanoseconds. */
+  /** Time after which a permission expires if no end of the run is reported, nanoseconds. */
   public static final long PERMISSION_LIFETIME_NANOS = 30_000_000_000L;
 
   private record Permission(String attempt, long expiresNanos) {}
@@ -21,18 +21,18 @@
   public SuspectRunPermissions() {}
 
   /**
-   * Answers a request to run.
+   * Decides on a request to run a fingerprint.
    *
-   * @param attempt who asks; asking again while its permission lasts is granted again
-   * @param standing what the owner knows about the fingerprint
+   * @param attempt requesting attempt; a repeated request during its permission is granted again
+   * @param level owner's suspicion level of the fingerprint
    * @param nowNanos monotonic time of this node
    */
   public Verdict requestRun(
-      Fingerprint fingerprint, String attempt, CrashEvidence.SuspicionLevel standing, long nowNanos) {
-    if (standing == CrashEvidence.SuspicionLevel.QUARANTINED) {
+      Fingerprint fingerprint, String attempt, CrashEvidence.SuspicionLevel level, long nowNanos) {
+    if (level == CrashEvidence.SuspicionLevel.QUARANTINED) {
       return Verdict.QUARANTINED;
     }
-    if (standing == CrashEvidence.SuspicionLevel.CLEAN) {
+    if (level == CrashEvidence.SuspicionLevel.CLEAN) {
       return Verdict.RUN;
     }
     Permission run = permissions.get(fingerprint);
@@ -43,12 +43,12 @@
     return Verdict.RUN;
   }
 
-  /** Ends the permission of a fingerprint whose run crashed or finished. */
+  /** Removes the permission of a fingerprint whose run crashed or finished. */
   public void runEnded(Fingerprint fingerprint) {
     permissions.remove(fingerprint);
   }
 
-  /** Drops permissions that have ended. */
+  /** Removes expired permissions. */
   public void expire(long nowNanos) {
     permissions.values().removeIf(r -> nowNanos >= r.expiresNanos());
   }
--- a/core/src/main/java/org/mustardlatch/core/quarantine/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Evidence on requests that crash engines, and the quarantine that follows from it. */
+/** Evidence about requests that crash engines, and the quarantine of their fingerprints. */
 @NullMarked
 package org.mustardlatch.core.quarantine;
 
--- a/core/src/main/java/org/mustardlatch/core/rollout/AcceptanceRule.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/AcceptanceRule.java
@@ -11,17 +11,20 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.routing.Member;
 
-/** When a published revision is accepted: in force on enough hosts that it can't be lost. */
+/**
+ * Rule that decides when a published revision is accepted, that is, active on enough hosts that it
+ * survives failures.
+ */
 final class AcceptanceRule {
   static final int MIN_HOSTS = 3;
 
   private AcceptanceRule() {}
 
   /**
-   * Returns whether three nodes on different hosts (all, if fewer are alive), among them one in
-   * each reachable region, have the revision in force.
+   * Returns whether the revision is active on three reachable nodes on different hosts (all, if
+   * fewer are reachable), among them one in each reachable region.
    *
-   * @param revisions revision in force by host, this node's included
+   * @param revisions active revision by host, this node's included
    */
   static boolean isAccepted(long revision, MemberList list, Map<HostId, Long> revisions) {
     List<Member> reachable =
--- a/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
@@ -3,10 +3,12 @@
 import java.time.Duration;
 
 /**
- * Whether a fresh node may serve: it has a revision, and it has read the object service or been
- * connected to peers for the time within which an accepted revision reaches every node.
+ * Decides whether the configuration of a new node is recent enough to serve requests. The node
+ * needs a revision at least as high as every one reported, and must have read the object service or
+ * been connected to peers for the time within which an accepted revision reaches every node.
  */
 final class Readiness {
+  /** Time without a higher reported revision after which peers alone suffice, nanoseconds. */
   static final long PEERS_ONLY_WAIT = Duration.ofSeconds(4).toNanos();
 
   private boolean storeRead;
@@ -19,7 +21,7 @@
     highestRevision = Math.max(highestRevision, revision);
   }
 
-  /** A peer has a revision in force. */
+  /** Records the active revision that a peer reported. */
   void recordPeerRevision(long revision, long now) {
     if (!peerReported || revision > highestRevision) {
       peerReported = true;
--- a/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
@@ -25,21 +25,22 @@
 import org.mustardlatch.core.routing.Member;
 
 /**
- * Spread of the manifest as one node sees it, design section 4.7. The revision in force never goes
- * back. Deterministic; not safe for use by several threads.
+ * Distribution of the manifest in the view of one node (design section 4.7). The active revision
+ * never decreases. Deterministic; not thread-safe.
  */
 public final class Rollout {
-  /** How often a {@link RolloutEvent.Tick} is expected. */
+  /** Expected interval between {@link RolloutEvent.Tick}s. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(500);
 
-  /** Nodes of each region that watch the object service. */
+  /** Number of nodes in each region that watch the object service. */
   public static final int WATCHERS = 3;
 
   private static final String WATCH_KEY = "watch";
 
   /**
-   * Time after which another holder is asked. Of the bound of 4 s this leaves eight attempts; at
-   * 900 ms and 10% loss a few nodes in a thousand were late.
+   * Time without a response after which the revision is requested from another holder. It allows
+   * eight attempts within the bound of 4 s; with 900 ms and 10% message loss a few nodes in a
+   * thousand exceeded the bound.
    */
   private static final long FETCH_TIMEOUT = Duration.ofMillis(400).toNanos();
 
@@ -72,16 +73,17 @@
   }
 
   /**
-   * Takes one event.
+   * Handles one event.
    *
-   * @param nowNanos current monotonic time, never less than at the call before
-   * @param out receives the commands that follow from it, in order
+   * @param nowNanos current monotonic time, never less than in the previous call
+   * @param out receives the resulting commands in order
    */
   public void handle(RolloutEvent event, long nowNanos, Consumer<RolloutCommand> out) {
     switch (event) {
       case RolloutEvent.Tick e -> retryFetch(nowNanos, out);
       case RolloutEvent.MessageReceived e -> handleMessage(e.from(), e.message(), nowNanos, out);
-      case RolloutEvent.PeerRevisionReported e -> recordPeerRevision(e.from(), e.revision(), nowNanos, out);
+      case RolloutEvent.PeerRevisionReported e ->
+          recordPeerRevision(e.from(), e.revision(), nowNanos, out);
       case RolloutEvent.MembersChanged e -> membersChanged(e, out);
       case RolloutEvent.StoreRead e -> {
         readiness.recordStoreRead(e.revision());
@@ -101,17 +103,17 @@
     checkReady(nowNanos, out);
   }
 
-  /** Returns the revision in force; 0 for none. */
+  /** Returns the active revision; 0 for none. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the text in force; empty for none. */
+  /** Returns the text of the active revision; empty for none. */
   public String text() {
     return text;
   }
 
-  /** Returns whether the node may serve requests as far as its configuration is concerned. */
+  /** Returns whether the configuration of this node is recent enough to serve requests. */
   public boolean ready() {
     return ready;
   }
@@ -121,7 +123,7 @@
     return watching;
   }
 
-  /** Returns the state for a dump. */
+  /** Returns the rollout state for a diagnostic dump. */
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("revision", revision);
@@ -130,9 +132,9 @@
     all.put("watching", watching);
     all.put("rejected", rejectedRevision);
     all.put("awaiting_acceptance", awaitedRevision);
-    Map<String, Long> known = new LinkedHashMap<>();
-    peerRevisions.forEach((host, r) -> known.put(host.value(), r));
-    all.put("revisions", known);
+    Map<String, Long> revisionByHost = new LinkedHashMap<>();
+    peerRevisions.forEach((host, r) -> revisionByHost.put(host.value(), r));
+    all.put("revisions", revisionByHost);
     return all;
   }
 
@@ -153,31 +155,35 @@
     }
   }
 
-  /** Another node has a revision in force. */
-  private void recordPeerRevision(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
-    peerRevisions.put(from, theirs);
-    readiness.recordPeerRevision(theirs, now);
-    if (shouldFetch(theirs) && (fetch == null || fetch.revision() < theirs || fetch.timedOut(now))) {
-      fetchFrom(from, theirs, now, out);
+  /** Records the active revision of another node and fetches it if it is newer. */
+  private void recordPeerRevision(
+      HostId from, long peerRevision, long now, Consumer<RolloutCommand> out) {
+    peerRevisions.put(from, peerRevision);
+    readiness.recordPeerRevision(peerRevision, now);
+    if (isNewRevision(peerRevision)
+        && (fetch == null || fetch.revision() < peerRevision || fetch.timedOut(now))) {
+      fetchFrom(from, peerRevision, now, out);
     }
   }
 
-  private boolean shouldFetch(long theirs) {
-    return theirs > revision && theirs > applyingRevision && theirs > rejectedRevision;
+  private boolean isNewRevision(long peerRevision) {
+    return peerRevision > revision
+        && peerRevision > applyingRevision
+        && peerRevision > rejectedRevision;
   }
 
-  private void fetchFrom(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
-    fetch = new Fetch(theirs, from, now);
-    out.accept(new RolloutCommand.Send(from, new ConfigFetch(theirs)));
+  private void fetchFrom(HostId from, long peerRevision, long now, Consumer<RolloutCommand> out) {
+    fetch = new Fetch(peerRevision, from, now);
+    out.accept(new RolloutCommand.Send(from, new ConfigFetch(peerRevision)));
   }
 
-  /** Asks another peer when an answer is late. */
+  /** Requests the revision from another peer if a response is overdue. */
   private void retryFetch(long now, Consumer<RolloutCommand> out) {
     Fetch f = fetch;
     if (f == null) {
       return;
     }
-    if (!shouldFetch(f.revision())) {
+    if (!isNewRevision(f.revision())) {
       fetch = null;
     } else if (f.timedOut(now)) {
       HostId next = nextHolder(f);
@@ -189,7 +195,10 @@
     }
   }
 
-  /** Returns a holder of the revision, the next one after the host that did not answer. */
+  /**
+   * Returns the next holder of the revision after the host that did not respond; null if there is
+   * none.
+   */
   private @Nullable HostId nextHolder(Fetch f) {
     List<HostId> holders =
         peerRevisions.entrySet().stream()
@@ -203,7 +212,7 @@
   }
 
   private void apply(long to, String newText, @Nullable HostId from, Consumer<RolloutCommand> out) {
-    if (shouldFetch(to)) {
+    if (isNewRevision(to)) {
       applyingRevision = to;
       applyingText = newText;
       applyingSource = from;
@@ -231,7 +240,10 @@
     }
   }
 
-  /** Returns the neighbours and, for a publisher, one more node in each region without one. */
+  /**
+   * Returns the hosts that are offered a new revision: the neighbours and, from the publisher, one
+   * more node in each region that has no neighbour.
+   */
   private Collection<HostId> offerTargets() {
     Set<HostId> targets = new LinkedHashSet<>(neighbours);
     if (awaitedRevision >= revision) {
--- a/core/src/main/java/org/mustardlatch/core/rollout/RolloutCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/RolloutCommand.java
@@ -3,23 +3,23 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.RolloutMessage;
 
-/** Output of {@link Rollout}. */
+/** Command of {@link Rollout} for its caller to execute. */
 public sealed interface RolloutCommand {
-  /** Send a message. */
+  /** Sends a message to a host. */
   record Send(HostId to, RolloutMessage message) implements RolloutCommand {}
 
   /**
-   * Put a revision into force as a whole, then report {@link RolloutEvent.Applied}, or {@link
-   * RolloutEvent.Rejected} when that is not possible.
+   * Activates a revision as a whole. The caller then reports {@link RolloutEvent.Applied}, or
+   * {@link RolloutEvent.Rejected} if the revision cannot be applied.
    */
   record Apply(long revision, String text) implements RolloutCommand {}
 
-  /** A revision that this node published is in force on enough nodes. Given once. */
+  /** Reports once that a revision published by this node is active on enough nodes. */
   record Accepted(long revision) implements RolloutCommand {}
 
-  /** Whether this node holds a watch on the manifest in the object service changed. */
+  /** Starts or stops the watch of this node on the manifest in the object service. */
   record WatchChanged(boolean watch) implements RolloutCommand {}
 
-  /** This node has a revision that is recent enough to serve requests. Given once. */
+  /** Reports once that this node has a revision that is recent enough to serve requests. */
   record Ready(long revision) implements RolloutCommand {}
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/RolloutEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/RolloutEvent.java
@@ -5,21 +5,21 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.RolloutMessage;
 
-/** Input of {@link Rollout}. */
+/** Input event of {@link Rollout}. */
 public sealed interface RolloutEvent {
-  /** Time passed. Expected every {@link Rollout#TICK_PERIOD}. */
+  /** Periodic event, expected every {@link Rollout#TICK_PERIOD}. */
   record Tick() implements RolloutEvent {}
 
-  /** A configuration message arrived. */
+  /** Arrival of a configuration message. */
   record MessageReceived(HostId from, RolloutMessage message) implements RolloutEvent {}
 
-  /** A heartbeat said which revision another node has in force; 0 for none. */
+  /** Active revision of another node as reported by its heartbeat; 0 for none. */
   record PeerRevisionReported(HostId from, long revision) implements RolloutEvent {}
 
   /**
-   * The live nodes or the overlay changed.
+   * Change of the live nodes or of the observer overlay.
    *
-   * @param neighbours nodes that this one exchanges heartbeats with
+   * @param neighbours nodes with which this node exchanges heartbeats
    */
   record MembersChanged(MemberList list, List<HostId> neighbours) implements RolloutEvent {
     /** Copies the list. */
@@ -29,16 +29,17 @@
   }
 
   /**
-   * The object service was read or its watch fired; revision 0 with empty text when it has none.
+   * Manifest read from the object service or delivered by its watch; revision 0 with empty text if
+   * the service has none.
    */
   record StoreRead(long revision, String text) implements RolloutEvent {}
 
-  /** This node stored a revision in the object service for an operator. */
+  /** Revision that this node stored in the object service for an operator. */
   record Published(long revision, String text) implements RolloutEvent {}
 
-  /** The revision of an {@link RolloutCommand.Apply} is in force on this node. */
+  /** Confirmation that the revision of a {@link RolloutCommand.Apply} is active on this node. */
   record Applied(long revision) implements RolloutEvent {}
 
-  /** The revision of an {@link RolloutCommand.Apply} can't be used by this node. */
+  /** Report that this node cannot apply the revision of a {@link RolloutCommand.Apply}. */
   record Rejected(long revision) implements RolloutEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/package-info.java
@@ -1,6 +1,7 @@
 /**
- * How a manifest revision comes into force on every node, as one node sees it. Events and the
- * current time in, commands out.
+ * Distribution of manifest revisions (versions of the fleet configuration) until one is active on
+ * every node, in the view of one node. A pure state machine that maps events and the current time
+ * to commands.
  */
 @NullMarked
 package org.mustardlatch.core.rollout;
--- a/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
@@ -342,7 +342,8 @@
     String detail =
         "attempt " + a.id.number() + " on " + a.decode + ", " + q.tokensSent + " tokens";
     fx.explain(q.request.id(), "completed", detail);
-    if (q.suspectRun || evidence.suspicionLevel(q.request.fingerprint(), fx.now()) == SuspicionLevel.SUSPECT) {
+    if (q.suspectRun
+        || evidence.suspicionLevel(q.request.fingerprint(), fx.now()) == SuspicionLevel.SUSPECT) {
       evidenceSide.cleared(q.request.fingerprint());
     }
     fx.emit(new RoutingCommand.Complete(q.request.id()));
--- a/core/src/test/java/org/mustardlatch/core/balancing/BalancerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/balancing/BalancerTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Guards against requests that wait at one upstream while another one is free. */
+/** Guards against requests that queue at one upstream while another one has free capacity. */
 class BalancerTest {
   private static final long MILLI = 1_000_000;
   private static final UpstreamId NEAR = new UpstreamId("near");
   private static final UpstreamId FAR = new UpstreamId("far");
 
   private final Balancer balancer = new Balancer();
-  private final List<Candidate> both =
+  private final List<Candidate> candidates =
       List.of(new Candidate(NEAR, 2, MILLI), new Candidate(FAR, 2, 25 * MILLI));
 
   private UpstreamId choose(long now) {
-    return Objects.requireNonNull(balancer.choose(both, Set.of(), now)).id();
+    return Objects.requireNonNull(balancer.choose(candidates, Set.of(), now)).id();
   }
 
   @Test
@@ -53,12 +53,12 @@
     balancer.requestFailed(NEAR, 0);
 
     assertThat(choose(MILLI)).isEqualTo(FAR);
-    assertThat(Objects.requireNonNull(balancer.choose(both, Set.of(FAR), MILLI)).id())
+    assertThat(Objects.requireNonNull(balancer.choose(candidates, Set.of(FAR), MILLI)).id())
         .isEqualTo(NEAR);
   }
 
   @Test
   void neverChoosesAnUpstreamThatFailedTheRequest() {
-    assertThat(balancer.choose(both, Set.of(NEAR, FAR), 0)).isNull();
+    assertThat(balancer.choose(candidates, Set.of(NEAR, FAR), 0)).isNull();
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/balancing/RetryBudgetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/balancing/RetryBudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards against a fleet that repeats more than its bound because it has grown. */
+/** Guards against a fleet that exceeds its bound of retries because nodes were added. */
 class RetryBudgetTest {
   @Test
   void discardsUnitsAboveANewCapacity() {
--- a/core/src/test/java/org/mustardlatch/core/fleet/BudgetFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/BudgetFleetTest.java
@@ -13,7 +13,7 @@
 import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 
-/** Shared budgets while demand moves and owners vanish, in virtual time. */
+/** Tests shared budgets in virtual time while demand shifts between nodes and owners are killed. */
 class BudgetFleetTest {
   private static final int SEEDS = 30;
   private static final int FLEET_SIZE = 10;
@@ -38,9 +38,12 @@
     n.budgetOwner.configure(Map.of(BUDGET, BudgetTerms.perSecond(UNITS_PER_SECOND)));
   }
 
-  /** Runs a second in which some nodes together want a multiple of the rate; returns the grants. */
-  private int runOneSecond(FleetSimulation fleet, List<SimulatedNode> active, double multiple) {
-    double perStep = UNITS_PER_SECOND * multiple / STEPS_PER_SECOND;
+  /**
+   * Advances one second in which the active nodes together request a multiple of the rate; returns
+   * the number of grants.
+   */
+  private int runOneSecond(FleetSimulation fleet, List<SimulatedNode> active, double rateMultiple) {
+    double perStep = UNITS_PER_SECOND * rateMultiple / STEPS_PER_SECOND;
     for (int i = 0; i < STEPS_PER_SECOND; i++) {
       int wanted = (int) perStep + (fleet.random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int k = 0; k < wanted; k++) {
@@ -60,10 +63,16 @@
   private static SimulatedNode owner(FleetSimulation fleet) {
     List<HostId> hosts = fleet.runningNodes().stream().map(SimulatedNode::host).toList();
     HostId owner = RendezvousHash.rank("budget/" + BUDGET, hosts, 1).getFirst();
-    return fleet.runningNodes().stream().filter(n -> n.host().equals(owner)).findFirst().orElseThrow();
+    return fleet.runningNodes().stream()
+        .filter(n -> n.host().equals(owner))
+        .findFirst()
+        .orElseThrow();
   }
 
-  /** Guards the bound R(T + 2L) and against units that get lost when demand moves. */
+  /**
+   * Guards the bound R(T + 2L), and against units that are leased to nodes without demand and
+   * expire unspent when demand shifts.
+   */
   @Test
   void shiftingDemandSpendsAtMostTheBoundAndAtLeast70PercentOfTheRate() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
@@ -73,12 +82,16 @@
       for (int s = 0; s < seconds; s++) {
         granted += runOneSecond(fleet, randomSubset(fleet), 3);
       }
-      assertWithMessage("seed %s", seed).that((double) granted).isAtMost(UNITS_PER_SECOND * (seconds + 2));
-      assertWithMessage("seed %s", seed).that((double) granted).isAtLeast(UNITS_PER_SECOND * seconds * 0.7);
+      assertWithMessage("seed %s", seed)
+          .that((double) granted)
+          .isAtMost(UNITS_PER_SECOND * (seconds + 2));
+      assertWithMessage("seed %s", seed)
+          .that((double) granted)
+          .isAtLeast(UNITS_PER_SECOND * seconds * 0.7);
     }
   }
 
-  /** Guards against a budget that a demand within its rate can't use. */
+  /** Guards against refusals although the demand is within the rate. */
   @Test
   void demandOfHalfTheRateIsGrantedToAtLeast99Percent() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
@@ -86,36 +99,43 @@
       List<SimulatedNode> all = new ArrayList<>(fleet.runningNodes());
       runOneSecond(fleet, all, 0.5);
       int granted = 0;
-      long before = lastTicket;
+      long ticketsBefore = lastTicket;
       for (int s = 0; s < 20; s++) {
         granted += runOneSecond(fleet, all, 0.5);
       }
-      assertWithMessage("seed %s", seed).that((double) granted).isAtLeast((lastTicket - before) * 0.99);
+      assertWithMessage("seed %s", seed)
+          .that((double) granted)
+          .isAtLeast((lastTicket - ticketsBefore) * 0.99);
     }
   }
 
-  /** Guards the bound of a change of owner, RL, and against a budget without owner. */
+  /**
+   * Guards the bound RL of a change of owner, and against a budget that no node grants after its
+   * owner was killed.
+   */
   @Test
   void killedOwnerAddsAtMostOneLeaseTimeOfUnitsAndGrantsContinue() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
       FleetSimulation fleet = startFleet(seed);
       int seconds = 40;
-      int changes = 0;
+      int ownerChanges = 0;
       int granted = 0;
-      int worst = Integer.MAX_VALUE;
+      int fewestPerSecond = Integer.MAX_VALUE;
       for (int s = 0; s < seconds; s++) {
         if (s % 15 == 5) {
           owner(fleet).kill();
-          changes++;
+          ownerChanges++;
         }
-        int inSecond = runOneSecond(fleet, randomSubset(fleet), 3);
-        worst = Math.min(worst, inSecond);
-        granted += inSecond;
+        int grantedInSecond = runOneSecond(fleet, randomSubset(fleet), 3);
+        fewestPerSecond = Math.min(fewestPerSecond, grantedInSecond);
+        granted += grantedInSecond;
       }
-      // Killed nodes lose what they held, so the bound counts what the others were granted.
-      double bound = UNITS_PER_SECOND * (seconds + 2 + changes);
+      // Killed nodes lose their leased units, so the bound covers the grants of the others.
+      double bound = UNITS_PER_SECOND * (seconds + 2 + ownerChanges);
       assertWithMessage("seed %s", seed).that((double) granted).isAtMost(bound);
-      assertWithMessage("seed %s", seed).that(worst).isAtLeast((int) (UNITS_PER_SECOND * 0.1));
+      assertWithMessage("seed %s", seed)
+          .that(fewestPerSecond)
+          .isAtLeast((int) (UNITS_PER_SECOND * 0.1));
     }
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/FleetSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/FleetSimulation.java
@@ -14,7 +14,10 @@
 import org.mustardlatch.core.peer.PeerMessage;
 import org.mustardlatch.core.time.VirtualTimerService;
 
-/** Nodes joined by a network that loses, delays and cuts messages as a seed says. */
+/**
+ * Simulated fleet in virtual time. A seed determines the loss and delay of messages; the test sets
+ * the loss probability and partitions.
+ */
 final class FleetSimulation {
   final VirtualTimerService time = new VirtualTimerService();
   final Random random;
@@ -31,9 +34,7 @@
     random = new Random(seed);
   }
 
-  /**
-   * Starts nodes {@code from} to {@code to - 1} in two regions, all with the first three as seeds.
-   */
+  /** Starts nodes {@code from} to {@code to - 1} in two regions, all with the same three seeds. */
   void startAll(int from, int to) {
     for (int i = from; i < to; i++) {
       start("n" + i, i % 2 == 0 ? "r0" : "r1", seeds());
@@ -63,21 +64,27 @@
     time.advance(duration);
   }
 
-  /** Runs until the condition holds for all running nodes; returns the seconds that it took. */
+  /** Advances time until the condition holds for all running nodes; returns the elapsed seconds. */
   double runUntil(Duration limit, Predicate<SimulatedNode> condition) {
     long start = time.nanos();
     while (!runningNodes().stream().allMatch(condition)) {
       if (time.nanos() - start > limit.toNanos()) {
-        List<String> missing =
-            runningNodes().stream().filter(condition.negate()).map(SimulatedNode::toString).toList();
-        throw new AssertionError("not reached within " + limit + " on " + missing);
+        List<String> unsatisfied =
+            runningNodes().stream()
+                .filter(condition.negate())
+                .map(SimulatedNode::toString)
+                .toList();
+        throw new AssertionError("not reached within " + limit + " on " + unsatisfied);
       }
       time.advance(Duration.ofMillis(50));
     }
     return (time.nanos() - start) / 1e9;
   }
 
-  /** Runs until every running node sees exactly the running nodes. */
+  /**
+   * Advances time until the member list of every running node holds exactly the running nodes;
+   * returns the elapsed seconds.
+   */
   double runUntilMembershipAgrees(Duration limit) {
     return runUntil(limit, n -> n.seesExactly(runningNodes()));
   }
@@ -91,19 +98,25 @@
   }
 
   private void deliver(
-      SimulatedNode from, @org.jspecify.annotations.Nullable SimulatedNode to, PeerMessage message) {
+      SimulatedNode from,
+      @org.jspecify.annotations.Nullable SimulatedNode to,
+      PeerMessage message) {
     messagesSent++;
-    if (to == null || to == from || isPartitioned.test(from, to) || random.nextDouble() < lossProbability) {
+    if (to == null
+        || to == from
+        || isPartitioned.test(from, to)
+        || random.nextDouble() < lossProbability) {
       return;
     }
-    boolean near = from.region().equals(to.region());
-    Duration delay = Duration.ofMillis(near ? 1 + random.nextInt(2) : 30 + random.nextInt(20));
+    boolean sameRegion = from.region().equals(to.region());
+    Duration delay =
+        Duration.ofMillis(sameRegion ? 1 + random.nextInt(2) : 30 + random.nextInt(20));
     long incarnation = from.incarnation();
     time.schedule(delay, () -> to.receive(from.host(), incarnation, message));
   }
 
-  /** Applies an action to each of some nodes. */
-  void applyToEach(List<SimulatedNode> some, Consumer<SimulatedNode> action) {
-    new ArrayList<>(some).forEach(action);
+  /** Applies an action to each of the given nodes. */
+  void applyToEach(List<SimulatedNode> targets, Consumer<SimulatedNode> action) {
+    new ArrayList<>(targets).forEach(action);
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.Seeds;
 
-/** Membership of a small fleet under seeded faults, in virtual time. */
+/** Tests the membership of a small fleet under seeded faults, in virtual time. */
 class MembershipFleetTest {
   private static final int SEEDS = 40;
   private static final int FLEET_SIZE = 14;
 
-  /** Runs a schedule for every seed, on a fleet that has joined. */
+  /** Runs a schedule for every seed on a fleet whose nodes have all joined. */
   private static void forSeeds(int seeds, int size, Consumer<FleetSimulation> schedule) {
     for (int seed : Seeds.of("fleet", seeds)) {
       FleetSimulation fleet = new FleetSimulation(seed);
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Guards against a failure detector that takes lost messages for death. */
+  /** Guards against a failure detector that declares nodes dead because of message loss. */
   @Test
   void noLiveNodeStaysDeadWhenThirtyPercentOfMessagesAreLost() {
     forSeeds(
@@ -47,7 +47,10 @@
         });
   }
 
-  /** Guards against a paused node that goes on as if nobody had declared it dead. */
+  /**
+   * Guards against a paused node that continues with its old incarnation although others may have
+   * declared it dead.
+   */
   @Test
   void pausedNodeIsSuspectedAndResumesWithHigherIncarnation() {
     forSeeds(
@@ -58,7 +61,8 @@
           long before = victim.incarnation();
           victim.pause(Duration.ofSeconds(6 + fleet.random.nextInt(40)));
           fleet.advance(Duration.ofSeconds(6));
-          assertThat(fleet.runningNodes().stream().anyMatch(n -> n.suspected.contains(victim.host())))
+          assertThat(
+                  fleet.runningNodes().stream().anyMatch(n -> n.suspected.contains(victim.host())))
               .isTrue();
           fleet.advance(Duration.ofSeconds(45));
           fleet.runUntilMembershipAgrees(Duration.ofSeconds(10));
@@ -70,7 +74,10 @@
         });
   }
 
-  /** Guards against a short pause that cancels the attempts of a healthy node. */
+  /**
+   * Guards against fencing, which cancels all attempts of a node, after a pause too short for it to
+   * be declared dead.
+   */
   @Test
   void shortPauseKeepsIncarnation() {
     forSeeds(
@@ -86,7 +93,10 @@
         });
   }
 
-  /** Guards the bound of design 4.6: detection, suspicion and refutation within 18 s. */
+  /**
+   * Guards the bound of design section 4.6: detection, suspicion and refutation take at most 18 s
+   * together.
+   */
   @Test
   void killedNodeIsRemovedFromAllMemberLists() {
     forSeeds(
@@ -98,7 +108,10 @@
         });
   }
 
-  /** Guards against a partition that makes each side forget the other, or flap when it heals. */
+  /**
+   * Guards against a partition that makes the regions declare each other dead, or change their
+   * member lists repeatedly when it heals.
+   */
   @Test
   void partitionedRegionBecomesUnreachableIsExcludedAndReturnsWithin5SecondsAfterHealing() {
     forSeeds(
@@ -115,7 +128,9 @@
           for (SimulatedNode n : fleet.runningNodes()) {
             assertThat(
                     n.seesExactly(
-                        fleet.runningNodes().stream().filter(o -> o.region().equals(n.region())).toList()))
+                        fleet.runningNodes().stream()
+                            .filter(o -> o.region().equals(n.region()))
+                            .toList()))
                 .isTrue();
           }
           fleet.isPartitioned = (a, b) -> false;
@@ -127,7 +142,10 @@
         });
   }
 
-  /** Guards against halves of one region that never meet again after both declared deaths. */
+  /**
+   * Guards against two halves of a fleet that stay separate after each declared the nodes of the
+   * other dead.
+   */
   @Test
   void partitionedHalvesMergeAgain() {
     forSeeds(
@@ -169,7 +187,9 @@
           List<SimulatedNode> old = new ArrayList<>(fleet.runningNodes());
           for (int i = 0; i < old.size(); i++) {
             old.get(i).leave();
-            String seed = fleet.nodeAt((i + 1) % FLEET_SIZE + (i + 1 < FLEET_SIZE ? 0 : FLEET_SIZE)).host() + ":1";
+            String seed =
+                fleet.nodeAt((i + 1) % FLEET_SIZE + (i + 1 < FLEET_SIZE ? 0 : FLEET_SIZE)).host()
+                    + ":1";
             fleet.start("m" + i, old.get(i).region(), List.of(seed));
             fleet.advance(Duration.ofSeconds(3));
           }
@@ -178,7 +198,10 @@
         });
   }
 
-  /** The object service is never read in this test, and two of three seeds are gone. */
+  /**
+   * Guards against joins that depend on the object service, which is never read here, or on all
+   * seeds, of which two of three are killed.
+   */
   @Test
   void nodesJoinThroughTheOnlyRemainingSeedWhileTheObjectServiceIsDown() {
     forSeeds(
--- a/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
@@ -9,7 +9,10 @@
 import org.mustardlatch.core.Seeds;
 import org.mustardlatch.core.rollout.RolloutEvent;
 
-/** Invariant I8: an accepted configuration is in force everywhere within 4 s and never reverts. */
+/**
+ * Tests invariant I8: an accepted configuration is active on all nodes within 4 s and never
+ * reverts.
+ */
 class RolloutFleetTest {
   private static final int SEEDS = 60;
   private static final int FLEET_SIZE = 14;
@@ -25,15 +28,15 @@
     return fleet;
   }
 
-  private static void publish(FleetSimulation fleet, SimulatedNode by, long revision) {
+  private static void publish(FleetSimulation fleet, SimulatedNode publisher, long revision) {
     fleet.storedRevision = revision;
     fleet.storedText = "text " + revision;
-    by.handleRolloutEvent(new RolloutEvent.Published(revision, fleet.storedText));
+    publisher.handleRolloutEvent(new RolloutEvent.Published(revision, fleet.storedText));
     Duration step = Duration.ofMillis(10);
-    for (int i = 0; i < 1_000 && by.acceptedRevision < revision; i++) {
+    for (int i = 0; i < 1_000 && publisher.acceptedRevision < revision; i++) {
       fleet.advance(step);
     }
-    assertThat(by.acceptedRevision).isEqualTo(revision);
+    assertThat(publisher.acceptedRevision).isEqualTo(revision);
   }
 
   private static void assertRevisionsNeverDecrease(FleetSimulation fleet) {
@@ -43,8 +46,8 @@
   }
 
   /**
-   * The publisher dies and the object service fails right after the acceptance, a tenth of the
-   * messages is lost, and fresh nodes join meanwhile.
+   * Right after the acceptance the object service fails and the publisher is killed in about half
+   * of the cases; a tenth of the messages is lost, and new nodes join meanwhile.
    */
   @Test
   void acceptedRevisionIsActiveOnAllNodesWithinFourSecondsDespiteFaults() {
@@ -76,7 +79,10 @@
     }
   }
 
-  /** Guards against a fresh node that serves with what a node that lags behind told it. */
+  /**
+   * Guards against a new node that serves with an outdated revision received from a node that has
+   * not yet applied the accepted one.
+   */
   @Test
   void newNodeIsNotReadyBeforeItHasTheAcceptedRevision() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
@@ -95,7 +101,10 @@
     }
   }
 
-  /** A side without the object service keeps its revision and moves on when it is joined again. */
+  /**
+   * Guards against a region that, cut off from the publisher, changes its revision, or does not
+   * catch up after the partition heals.
+   */
   @Test
   void partitionedRegionCatchesUpWithinFourSecondsAfterHealing() {
     for (int seed : Seeds.of("fleet", SEEDS / 2)) {
--- a/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
@@ -31,7 +31,7 @@
 import org.mustardlatch.core.rollout.RolloutEvent;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** One node of a {@link FleetSimulation}. */
+/** Node of a {@link FleetSimulation} with membership, rollout and budgets. */
 final class SimulatedNode {
   private final FleetSimulation fleet;
   private final NodeIdentity self;
@@ -42,7 +42,7 @@
   private final List<Runnable> deferredTasks = new ArrayList<>();
   private final List<TimerSubscription> timers = new ArrayList<>();
   private final Map<Long, Boolean> spendResults = new HashMap<>();
-  private boolean isRunning;
+  private boolean running;
   private boolean paused;
   final Set<HostId> suspected = new HashSet<>();
   final Set<HostId> everRemoved = new HashSet<>();
@@ -51,7 +51,8 @@
   long acceptedRevision;
   double spent;
 
-  SimulatedNode(FleetSimulation fleet, String name, String region, long incarnation, List<String> seeds) {
+  SimulatedNode(
+      FleetSimulation fleet, String name, String region, long incarnation, List<String> seeds) {
     this.fleet = fleet;
     this.self =
         new NodeIdentity(
@@ -64,7 +65,7 @@
   }
 
   void start() {
-    isRunning = true;
+    running = true;
     membersChanged();
     long phase = fleet.random.nextLong(Membership.TICK_PERIOD.toNanos());
     fleet.time.schedule(
@@ -75,7 +76,7 @@
               fleet.time.every(
                   BudgetClient.TICK_PERIOD,
                   () -> {
-                    if (isRunning && !paused && budgetClient.hasWaitingSpends()) {
+                    if (running && !paused && budgetClient.hasWaitingSpends()) {
                       budgetClient.tick(fleet.time.nanos(), this::execute);
                     }
                   }));
@@ -87,9 +88,9 @@
     handleRolloutEvent(new RolloutEvent.Tick());
   }
 
-  /** Ends the process without a word. */
+  /** Ends the process without notifying the other nodes. */
   void kill() {
-    isRunning = false;
+    running = false;
     timers.forEach(TimerSubscription::cancel);
   }
 
@@ -98,21 +99,21 @@
     fleet.time.schedule(Duration.ofSeconds(1), this::kill);
   }
 
-  /** Stops the process for a while; what arrives meanwhile is handled when it goes on. */
+  /** Pauses the process; up to 64 ticks and messages of this time are handled when it resumes. */
   void pause(Duration duration) {
     paused = true;
     fleet.time.schedule(
         duration,
         () -> {
           paused = false;
-          List<Runnable> due = new ArrayList<>(deferredTasks);
+          List<Runnable> resumedTasks = new ArrayList<>(deferredTasks);
           deferredTasks.clear();
-          due.forEach(Runnable::run);
+          resumedTasks.forEach(Runnable::run);
         });
   }
 
   private void runOrDefer(Runnable task) {
-    if (!isRunning) {
+    if (!running) {
       return;
     }
     if (paused) {
@@ -173,7 +174,8 @@
   }
 
   private void membersChanged() {
-    handleRolloutEvent(new RolloutEvent.MembersChanged(membership.members(), membership.neighbours()));
+    handleRolloutEvent(
+        new RolloutEvent.MembersChanged(membership.members(), membership.neighbours()));
     List<HostId> region =
         membership.members().members().stream()
             .filter(m -> m.region().equals(self.region()))
@@ -222,12 +224,12 @@
   }
 
   void spend(long ticket, String budget, double units) {
-    if (isRunning && !paused) {
+    if (running && !paused) {
       budgetClient.spend(ticket, budget, units, fleet.time.nanos(), this::execute);
     }
   }
 
-  /** Returns how many spends were granted since the last call. */
+  /** Returns the number of spends granted since the last call. */
   int drainGrantedCount() {
     int granted = (int) spendResults.values().stream().filter(g -> g).count();
     spendResults.clear();
@@ -266,7 +268,7 @@
   }
 
   boolean isRunning() {
-    return isRunning;
+    return running;
   }
 
   @Nullable String stateOf(HostId other) {
--- a/core/src/test/java/org/mustardlatch/core/fleet/package-info.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/package-info.java
@@ -1,4 +1,6 @@
-/** Several nodes in virtual time, for tests of membership, rollout and budgets together. */
+/**
+ * Tests of membership, rollout and budgets together, on several simulated nodes in virtual time.
+ */
 @NullMarked
 package org.mustardlatch.core.fleet;
 
--- a/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
@@ -8,6 +8,7 @@
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 
+/** Tests which crashes quarantine a fingerprint, and for how long. */
 class CrashEvidenceTest {
   private static final Fingerprint CRASHING = fingerprint(1);
   private static final Fingerprint OTHER = fingerprint(2);
@@ -69,13 +70,18 @@
 
   @Test
   void permitsOneAttemptOfASuspectAtATime() {
-    SuspectRunPermissions runs = new SuspectRunPermissions();
-    assertThat(runs.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 0)).isEqualTo(Verdict.RUN);
-    assertThat(runs.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 1)).isEqualTo(Verdict.RUN);
-    assertThat(runs.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 2)).isEqualTo(Verdict.WAIT);
-
-    runs.runEnded(CRASHING);
-    assertThat(runs.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 3)).isEqualTo(Verdict.RUN);
-    assertThat(runs.requestRun(CRASHING, "c", SuspicionLevel.QUARANTINED, 4)).isEqualTo(Verdict.QUARANTINED);
+    SuspectRunPermissions permissions = new SuspectRunPermissions();
+    assertThat(permissions.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 0))
+        .isEqualTo(Verdict.RUN);
+    assertThat(permissions.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 1))
+        .isEqualTo(Verdict.RUN);
+    assertThat(permissions.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 2))
+        .isEqualTo(Verdict.WAIT);
+
+    permissions.runEnded(CRASHING);
+    assertThat(permissions.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 3))
+        .isEqualTo(Verdict.RUN);
+    assertThat(permissions.requestRun(CRASHING, "c", SuspicionLevel.QUARANTINED, 4))
+        .isEqualTo(Verdict.QUARANTINED);
   }
 }
