--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -230,7 +230,7 @@
     }
   }
 
-  /** Sends a digest to an unknown sender, which answers with its view. */
+  /** Sends a digest to an unknown sender, which responds with its view. */
   private void syncIfUnknown(HostId from, Consumer<MembershipCommand> out) {
     if (!node.peers.containsKey(from)) {
       reply(from, new MembershipMessage.Sync(node.digest()), out);
--- a/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
@@ -118,7 +118,7 @@
     return ready;
   }
 
-  /** Returns whether this node holds a watch on the object service. */
+  /** Returns whether this node watches the object service. */
   public boolean watching() {
     return watching;
   }
