--- a/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
@@ -16,20 +16,20 @@
  * failed, marks them suspect and declares suspects dead that do not refute in time.
  */
 final class FailureDetector {
-  private final MembershipState node;
+  private final MembershipState state;
   private final RumorMerger merger;
   private boolean isolated;
   private long isolatedSinceNanos;
 
-  FailureDetector(MembershipState node, RumorMerger merger) {
-    this.node = node;
+  FailureDetector(MembershipState state, RumorMerger merger) {
+    this.state = state;
     this.merger = merger;
   }
 
   void tick(long now, Consumer<MembershipCommand> out) {
     updateRegionReachability(now);
     updateIsolation(now);
-    for (Peer p : node.observed()) {
+    for (Peer p : state.observed()) {
       probeIfSilent(p, now, out);
       voteIfSilent(p, now, out);
     }
@@ -43,15 +43,17 @@
       restartSilenceTimers(now);
     }
     p.recordFrame(now);
-    if (node.regionReachability.markReachable(p.rumor.region())) {
+    if (state.regionReachability.markReachable(p.rumor.region())) {
       restartSilenceTimers(now);
     }
   }
 
   /** Records the vote of another observer that a peer is silent. */
   void recordVote(HostId from, Suspicion s, long now) {
-    Peer p = node.peers.get(s.host());
-    if (p != null && p.rumor.incarnation() == s.incarnation() && p.rumor.counter() == s.counter()) {
+    Peer p = state.peers.get(s.host());
+    if (p != null
+        && p.rumor.incarnation() == s.incarnation()
+        && p.rumor.refutationCounter() == s.refutationCounter()) {
       p.votes.put(from, now);
     }
   }
@@ -62,9 +64,9 @@
    * peers.
    */
   void restartSilenceTimers(long now) {
-    for (Peer p : node.peers.values()) {
+    for (Peer p : state.peers.values()) {
       p.clearVotes();
-      if (node.isNeighbour(p.host())) {
+      if (state.isNeighbour(p.host())) {
         p.silentSinceNanos = Math.max(p.silentSinceNanos, now);
       }
       if (p.state() == State.SUSPECT) {
@@ -75,8 +77,8 @@
 
   private void updateRegionReachability(long now) {
     Map<RegionId, Boolean> silentRegions = new HashMap<>();
-    for (Peer p : node.neighbours()) {
-      if (p.isLive() && !p.rumor.region().equals(node.self.region())) {
+    for (Peer p : state.neighbours()) {
+      if (p.isLive() && !p.rumor.region().equals(state.self.region())) {
         silentRegions.merge(
             p.rumor.region(),
             now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER,
@@ -86,13 +88,13 @@
     silentRegions.forEach(
         (region, all) -> {
           if (all) {
-            node.regionReachability.markUnreachable(region, now);
+            state.regionReachability.markUnreachable(region, now);
           }
         });
   }
 
   private void updateIsolation(long now) {
-    Collection<Peer> neighbours = node.neighbours();
+    Collection<Peer> neighbours = state.neighbours();
     boolean nothingHeard =
         neighbours.size() > 1
             && neighbours.stream()
@@ -116,7 +118,7 @@
     if (now - p.silentSinceNanos > MembershipConstants.PROBE_AFTER
         && now - p.lastProbeNanos > MembershipConstants.URGENT_HEARTBEAT_PERIOD) {
       p.lastProbeNanos = now;
-      node.sendHeartbeat(p, now, out);
+      state.sendHeartbeat(p, now, out);
     }
   }
 
@@ -124,14 +126,14 @@
   private void voteIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     RegionId region = p.rumor.region();
     long limit =
-        region.equals(node.self.region())
+        region.equals(state.self.region())
             ? MembershipConstants.SILENT_AFTER
             : MembershipConstants.REMOTE_SILENT_AFTER;
     if (p.state() != State.ALIVE
-        || node.leaving
+        || state.leaving
         || now - p.silentSinceNanos <= limit
         || isLikelyIsolated(now)
-        || node.regionReachability.isUnreachable(region)) {
+        || state.regionReachability.isUnreachable(region)) {
       p.voting = false;
       return;
     }
@@ -152,9 +154,9 @@
   }
 
   private void sendVotes(Peer p, Consumer<MembershipCommand> out) {
-    Suspicion vote = new Suspicion(p.host(), p.rumor.incarnation(), p.rumor.counter());
-    for (HostId h : node.overlay.observersOf(p.host())) {
-      Peer observer = node.peers.get(h);
+    Suspicion vote = new Suspicion(p.host(), p.rumor.incarnation(), p.rumor.refutationCounter());
+    for (HostId h : state.overlay.observersOf(p.host())) {
+      Peer observer = state.peers.get(h);
       if (observer != null) {
         out.accept(new MembershipCommand.Send(h, observer.rumor.address(), vote));
       }
@@ -164,12 +166,12 @@
   private void markSuspect(Peer p, long now, Consumer<MembershipCommand> out) {
     merger.setRumor(p, Peer.withState(p.rumor, State.SUSPECT), now);
     out.accept(new MembershipCommand.Suspected(p.host()));
-    node.sendHeartbeat(p, now, out);
+    state.sendHeartbeat(p, now, out);
   }
 
   private void expireStates(long now, Consumer<MembershipCommand> out) {
     List<Peer> expired = new ArrayList<>();
-    for (Peer p : node.peers.values()) {
+    for (Peer p : state.peers.values()) {
       long age = now - p.stateSinceNanos;
       switch (p.state()) {
         case SUSPECT -> {
@@ -184,25 +186,25 @@
         }
         case ALIVE -> {}
       }
-      if (p.isLive() && node.regionReachability.isPurgeDue(p.rumor.region(), now)) {
+      if (p.isLive() && state.regionReachability.isPurgeDue(p.rumor.region(), now)) {
         markDead(p, now, out);
       }
     }
-    expired.forEach(p -> node.peers.remove(p.host()));
+    expired.forEach(p -> state.peers.remove(p.host()));
   }
 
   /** Returns whether a suspect must not be declared dead yet. */
   private boolean isDeathDeferred(Peer p, long now) {
     boolean recentlyHeard =
-        node.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
+        state.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
     return recentlyHeard
         || isLikelyIsolated(now)
-        || node.regionReachability.isUnreachable(p.rumor.region());
+        || state.regionReachability.isUnreachable(p.rumor.region());
   }
 
   private void markDead(Peer p, long now, Consumer<MembershipCommand> out) {
     merger.setRumor(p, Peer.withState(p.rumor, State.DEAD), now);
-    node.removeFromOverlay(p);
+    state.removeFromOverlay(p);
     out.accept(new MembershipCommand.NodeRemoved(p.host()));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/FleetJoiner.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FleetJoiner.java
@@ -15,15 +15,15 @@
  * again.
  */
 final class FleetJoiner {
-  private final MembershipState node;
+  private final MembershipState state;
   private final RandomGenerator random;
   private final Set<String> seeds;
   private Set<String> listedAddresses = Set.of();
   private boolean joined;
   private long lastJoinNanos;
 
-  FleetJoiner(MembershipState node, List<String> seeds, RandomGenerator random, long now) {
-    this.node = node;
+  FleetJoiner(MembershipState state, List<String> seeds, RandomGenerator random, long now) {
+    this.state = state;
     this.seeds = new LinkedHashSet<>(seeds);
     this.random = random;
     this.lastJoinNanos = now - MembershipConstants.JOIN_PERIOD;
@@ -43,7 +43,7 @@
 
   void tick(long now, Consumer<MembershipCommand> out) {
     long period = joined ? MembershipConstants.REJOIN_PERIOD : MembershipConstants.JOIN_PERIOD;
-    if (now - lastJoinNanos < period || node.leaving) {
+    if (now - lastJoinNanos < period || state.leaving) {
       return;
     }
     lastJoinNanos = now;
@@ -53,16 +53,18 @@
       String address = candidates.remove(random.nextInt(candidates.size()));
       out.accept(
           new MembershipCommand.SendToAddress(
-              address, new MembershipMessage.Join(node.selfRumor())));
+              address, new MembershipMessage.Join(state.selfRumor())));
     }
   }
 
   private List<String> candidates() {
     Set<String> all = new LinkedHashSet<>(seeds);
     all.addAll(listedAddresses);
-    all.remove(node.self.address());
+    all.remove(state.self.address());
     if (joined) {
-      node.peers.values().stream().filter(Peer::isLive).forEach(p -> all.remove(p.rumor.address()));
+      state.peers.values().stream()
+          .filter(Peer::isLive)
+          .forEach(p -> all.remove(p.rumor.address()));
     }
     return new ArrayList<>(all);
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -29,7 +29,7 @@
    */
   private static final long TICK_TOLERANCE = Duration.ofMillis(100).toNanos();
 
-  private final MembershipState node;
+  private final MembershipState state;
   private final RumorMerger merger;
   private final FailureDetector detector;
   private final FleetJoiner joiner;
@@ -57,16 +57,16 @@
     if (incarnation < 1) {
       throw new IllegalArgumentException("incarnation must be at least 1, got " + incarnation);
     }
-    this.node = new MembershipState(self, incarnation);
-    this.merger = new RumorMerger(node);
-    this.detector = new FailureDetector(node, merger);
-    this.joiner = new FleetJoiner(node, seeds, random, nowNanos);
+    this.state = new MembershipState(self, incarnation);
+    this.merger = new RumorMerger(state);
+    this.detector = new FailureDetector(state, merger);
+    this.joiner = new FleetJoiner(state, seeds, random, nowNanos);
     this.random = random;
-    this.reportedMembers = node.members(nowNanos);
+    this.reportedMembers = state.members(nowNanos);
     this.lastTickNanos = nowNanos;
     this.lastHeartbeatNanos = nowNanos;
     this.lastSyncNanos = nowNanos;
-    node.selfRumorChanged(nowNanos);
+    state.selfRumorChanged(nowNanos);
   }
 
   /**
@@ -82,16 +82,16 @@
       case MembershipEvent.MessageReceived e -> handleMessage(e, nowNanos, out);
       case MembershipEvent.FrameReceived e -> recordFrame(e.from(), e.incarnation(), nowNanos);
       case MembershipEvent.NodesListed e -> joiner.updateListedAddresses(e.addresses());
-      case MembershipEvent.ActiveRevisionChanged e -> node.activeRevision = e.revision();
+      case MembershipEvent.ActiveRevisionChanged e -> state.activeRevision = e.revision();
       case MembershipEvent.LeaveRequested e -> leave(nowNanos, out);
     }
-    node.refreshNeighbours(nowNanos);
+    state.refreshNeighbours(nowNanos);
     reportMembers(nowNanos, out);
   }
 
   /** Returns the current incarnation of this node. */
   public long incarnation() {
-    return node.incarnation;
+    return state.incarnation;
   }
 
   /** Returns the live nodes as last reported by {@link MembershipCommand.MembersChanged}. */
@@ -106,42 +106,42 @@
 
   /** Returns the nodes with which this node exchanges heartbeats. */
   public List<HostId> neighbours() {
-    return node.neighbours().stream().map(Peer::host).toList();
+    return state.neighbours().stream().map(Peer::host).toList();
   }
 
   /** Returns the peer address of a live or recently live node, or null if the host is unknown. */
   public @Nullable String address(HostId host) {
-    Peer p = node.peers.get(host);
+    Peer p = state.peers.get(host);
     return p == null ? null : p.rumor.address();
   }
 
   /** Returns the last reported state of a node, or null if the host is unknown. */
   public @Nullable State state(HostId host) {
-    Peer p = node.peers.get(host);
+    Peer p = state.peers.get(host);
     return p == null ? null : p.state();
   }
 
   /** Returns the membership state for a diagnostic dump. */
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("incarnation", node.incarnation);
-    all.put("refutations", node.refutationCounter);
+    all.put("incarnation", state.incarnation);
+    all.put("refutations", state.refutationCounter);
     all.put("joined", joiner.isJoined());
-    all.put("rumors_waiting", node.rumors.size());
-    all.put("observers", node.observers().stream().map(HostId::value).toList());
-    all.put("observed", node.observed().stream().map(p -> p.host().value()).toList());
+    all.put("rumors_waiting", state.rumors.size());
+    all.put("observers", state.observers().stream().map(HostId::value).toList());
+    all.put("observed", state.observed().stream().map(p -> p.host().value()).toList());
     all.put(
         "unreachable_regions",
-        node.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
+        state.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
     Map<String, Object> peerStates = new LinkedHashMap<>();
-    node.peers.forEach(
+    state.peers.forEach(
         (host, p) ->
             peerStates.put(
                 host.value(),
                 Map.of(
                     "state", p.state().name(),
                     "incarnation", p.rumor.incarnation(),
-                    "counter", p.rumor.counter(),
+                    "counter", p.rumor.refutationCounter(),
                     "region", p.rumor.region().value(),
                     "zone", p.rumor.zone().value(),
                     "address", p.rumor.address())));
@@ -157,17 +157,17 @@
     lastTickNanos = now;
     detector.restartSilenceTimers(now);
     if (gap >= MembershipConstants.FENCING_PAUSE_THRESHOLD) {
-      merger.raiseIncarnation(node.incarnation + 1, gap, now, out);
+      merger.raiseIncarnation(state.incarnation + 1, gap, now, out);
     }
   }
 
   private void tick(long now, Consumer<MembershipCommand> out) {
     lastTickNanos = now;
-    node.refreshNeighbours(now);
+    state.refreshNeighbours(now);
     joiner.tick(now, out);
     detector.tick(now, out);
     long period =
-        node.rumors.isEmpty()
+        state.rumors.isEmpty()
             ? MembershipConstants.HEARTBEAT_PERIOD
             : MembershipConstants.URGENT_HEARTBEAT_PERIOD;
     if (now - lastHeartbeatNanos >= period - TICK_TOLERANCE) {
@@ -181,24 +181,24 @@
   }
 
   private void sendHeartbeats(long now, Consumer<MembershipCommand> out) {
-    for (HostId h : node.observers()) {
-      Peer p = node.peers.get(h);
+    for (HostId h : state.observers()) {
+      Peer p = state.peers.get(h);
       if (p != null) {
-        node.sendHeartbeat(p, now, out);
+        state.sendHeartbeat(p, now, out);
       }
     }
   }
 
   /** Sends the digest of this view to one random neighbour and to one random node in state DEAD. */
   private void sendSyncs(Consumer<MembershipCommand> out) {
-    List<Peer> neighbours = new ArrayList<>(node.neighbours());
-    List<Peer> dead = node.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
+    List<Peer> neighbours = new ArrayList<>(state.neighbours());
+    List<Peer> dead = state.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
     for (List<Peer> candidates : List.of(neighbours, dead)) {
       if (!candidates.isEmpty()) {
         Peer p = candidates.get(random.nextInt(candidates.size()));
         out.accept(
             new MembershipCommand.Send(
-                p.host(), p.rumor.address(), new MembershipMessage.Sync(node.digest())));
+                p.host(), p.rumor.address(), new MembershipMessage.Sync(state.digest())));
       }
     }
   }
@@ -211,20 +211,20 @@
     switch (e.message()) {
       case MembershipMessage.Heartbeat m -> {
         merger.merge(m.rumors(), now, out);
-        node.sendAck(e.from(), m.sequence(), now, out);
+        state.sendAck(e.from(), m.sequence(), now, out);
         syncIfUnknown(e.from(), out);
       }
       case MembershipMessage.HeartbeatAck m -> merger.merge(m.rumors(), now, out);
       case MembershipMessage.Join m -> {
         merger.merge(List.of(m.self()), now, out);
         joiner.markJoined();
-        reply(e.from(), new MembershipMessage.View(node.view(), false), out);
+        reply(e.from(), new MembershipMessage.View(state.view(), false), out);
       }
       case MembershipMessage.View m -> mergeView(e.from(), m, now, out);
       case MembershipMessage.Suspicion m -> detector.recordVote(e.from(), m, now);
       case MembershipMessage.Sync m -> {
-        if (m.digest() != node.digest()) {
-          reply(e.from(), new MembershipMessage.View(node.view(), true), out);
+        if (m.digest() != state.digest()) {
+          reply(e.from(), new MembershipMessage.View(state.view(), true), out);
         }
       }
     }
@@ -232,8 +232,8 @@
 
   /** Sends a digest to an unknown sender, which responds with its view. */
   private void syncIfUnknown(HostId from, Consumer<MembershipCommand> out) {
-    if (!node.peers.containsKey(from)) {
-      reply(from, new MembershipMessage.Sync(node.digest()), out);
+    if (!state.peers.containsKey(from)) {
+      reply(from, new MembershipMessage.Sync(state.digest()), out);
     }
   }
 
@@ -252,7 +252,7 @@
   private List<Rumor> newerThan(List<Rumor> theirs) {
     Map<HostId, Rumor> reportedByHost = new HashMap<>();
     theirs.forEach(r -> reportedByHost.put(r.host(), r));
-    return node.view().stream()
+    return state.view().stream()
         .filter(
             r -> {
               Rumor other = reportedByHost.get(r.host());
@@ -271,7 +271,7 @@
 
   /** Records a frame; returns false if its incarnation has been superseded. */
   private boolean recordFrame(HostId from, long incarnation, long now) {
-    Peer p = node.peers.get(from);
+    Peer p = state.peers.get(from);
     if (p == null) {
       return true;
     }
@@ -283,19 +283,19 @@
   }
 
   private void leave(long now, Consumer<MembershipCommand> out) {
-    node.leaving = true;
-    node.selfRumorChanged(now);
-    node.neighbours().forEach(p -> node.sendHeartbeat(p, now, out));
+    state.leaving = true;
+    state.selfRumorChanged(now);
+    state.neighbours().forEach(p -> state.sendHeartbeat(p, now, out));
   }
 
   private void reportMembers(long now, Consumer<MembershipCommand> out) {
-    if (!node.membersDirty
-        && node.regionReachability.allReachable()
+    if (!state.membersDirty
+        && state.regionReachability.allReachable()
         && reportedMembers.unreachableRegions().isEmpty()) {
       return;
     }
-    node.membersDirty = false;
-    MemberList list = node.members(now);
+    state.membersDirty = false;
+    MemberList list = state.members(now);
     if (!list.equals(reportedMembers)) {
       reportedMembers = list;
       out.accept(new MembershipCommand.MembersChanged(list));
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipConstants.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipConstants.java
@@ -64,7 +64,7 @@
   /** Interval of join requests after the node has joined. */
   static final long REJOIN_PERIOD = Duration.ofSeconds(30).toNanos();
 
-  /** Time for which the record of a dead or removed node is kept. */
+  /** Time for which the record of a node that is dead or has left is kept. */
   static final long TOMBSTONE_LIFETIME = Duration.ofMinutes(30).toNanos();
 
   /** Interval at which an observer repeats its vote. */
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
@@ -180,7 +180,8 @@
 
   private static long digest(Rumor r) {
     return RendezvousHash.score(
-        RendezvousHash.hash(r.host().value()), RendezvousHash.score(r.incarnation(), r.counter()));
+        RendezvousHash.hash(r.host().value()),
+        RendezvousHash.score(r.incarnation(), r.refutationCounter()));
   }
 
   MemberList members(long now) {
--- a/core/src/main/java/org/mustardlatch/core/membership/Peer.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Peer.java
@@ -60,6 +60,6 @@
 
   static Rumor withState(Rumor r, State state) {
     return new Rumor(
-        r.host(), r.region(), r.zone(), r.address(), r.incarnation(), r.counter(), state);
+        r.host(), r.region(), r.zone(), r.address(), r.incarnation(), r.refutationCounter(), state);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
@@ -22,8 +22,8 @@
    *     10.0.0.1:7100}
    * @param incarnation grows with every start of the node and every pause after which others may
    *     have declared it dead; a higher one overrides a lower one
-   * @param counter grows with every refutation within an incarnation; a higher one overrides a
-   *     lower one of the same incarnation
+   * @param refutationCounter grows with every refutation within an incarnation; a higher one
+   *     overrides a lower one of the same incarnation
    */
   record Rumor(
       HostId host,
@@ -31,7 +31,7 @@
       ZoneId zone,
       String address,
       long incarnation,
-      long counter,
+      long refutationCounter,
       State state) {}
 
   /**
@@ -79,9 +79,11 @@
    * observers.
    *
    * @param incarnation incarnation of the silent host
-   * @param counter refutation counter of the host; a vote with an outdated counter is ignored
+   * @param refutationCounter refutation counter of the host; a vote with an outdated counter is
+   *     ignored
    */
-  record Suspicion(HostId host, long incarnation, long counter) implements MembershipMessage {}
+  record Suspicion(HostId host, long incarnation, long refutationCounter)
+      implements MembershipMessage {}
 
   /**
    * Compares views; the receiver responds with its view if its digest differs.
--- a/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
@@ -32,7 +32,7 @@
           out.getSuspicionBuilder()
               .setHost(m.host().value())
               .setIncarnation(m.incarnation())
-              .setCounter(m.counter());
+              .setCounter(m.refutationCounter());
       case MembershipMessage.Sync m -> out.getSyncBuilder().setDigest(m.digest());
     }
   }
@@ -74,7 +74,7 @@
         .setZone(r.zone().value())
         .setAddress(r.address())
         .setIncarnation(r.incarnation())
-        .setCounter(r.counter())
+        .setCounter(r.refutationCounter())
         .setState(state(r.state()))
         .build();
   }
