--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
@@ -10,125 +10,132 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 
 /**
- * Spends from shared budgets what their owners lease to this node. Asks for as much as was spent
- * within the last lease time. When an owner does not answer, the next node in rendezvous order is
- * asked. Deterministic; not safe for use by several threads.
+ * Spends units of shared budgets that their owners lease to this node. Requests as many units as
+ * were spent within the last lease time. If an owner does not respond, requests go to its backup,
+ * the next node in rendezvous order. Deterministic; not thread-safe.
  */
 public final class BudgetClient {
-  /** How often {@link #tick} is expected while spends wait. */
+  /** Expected interval between calls of {@link #tick} while spends wait. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(50);
 
-  /** How long a spend waits for a lease before it is refused. */
+  /** Time that a spend waits for a lease before it is refused. */
   public static final Duration MAX_WAIT = Duration.ofMillis(300);
 
-  private static final long ASK_TIMEOUT = Duration.ofMillis(100).toNanos();
-  private static final long ASK_PERIOD = Duration.ofMillis(50).toNanos();
+  /** Time without a response after which a request is repeated. */
+  private static final long REQUEST_TIMEOUT = Duration.ofMillis(100).toNanos();
 
-  /** Requests without answer after which the stand-in is asked. */
+  /** Minimum interval between two requests for the same budget. */
+  private static final long MIN_REQUEST_INTERVAL = Duration.ofMillis(50).toNanos();
+
+  /** Number of requests without a response after which the backup is used. */
   private static final int UNANSWERED_LIMIT = 1;
 
-  /** How long the stand-in is asked before the owner is tried again. */
-  private static final long FALL_BACK = Duration.ofSeconds(2).toNanos();
+  /** Time for which requests go to the backup before the owner is tried again. */
+  private static final long BACKUP_PERIOD = Duration.ofSeconds(2).toNanos();
 
-  private final BudgetOwners owners = new BudgetOwners();
-  private final Map<String, HeldBudget> held = new HashMap<>();
+  private final BudgetOwnerRanking owners = new BudgetOwnerRanking();
+  private final Map<String, LeasedBudget> leasedBudgets = new HashMap<>();
 
-  /** Creates a client that holds nothing. */
+  /** Creates a client without leases. */
   public BudgetClient() {}
 
   /** Sets the live nodes of the region, this one included. */
   public void membersChanged(List<HostId> regionHosts) {
-    owners.hosts(regionHosts);
-    held.values().forEach(h -> h.candidate = 0);
+    owners.setHosts(regionHosts);
+    leasedBudgets.values().forEach(h -> h.candidateIndex = 0);
   }
 
   /**
-   * Spends units. One {@link BudgetCommand.Granted} or {@link BudgetCommand.Refused} with the
-   * ticket follows, now or within {@link #MAX_WAIT}.
+   * Spends units. Exactly one {@link BudgetCommand.Granted} or {@link BudgetCommand.Refused} with
+   * the ticket follows, during this call or within {@link #MAX_WAIT}.
    *
-   * @param units units to take, greater than 0
+   * @param ticket identifies the spend in the resulting command
+   * @param units units to spend, greater than 0
    */
   public void spend(
       long ticket, String budget, double units, long nowNanos, Consumer<BudgetCommand> out) {
     if (!(units > 0)) {
       throw new IllegalArgumentException("units must be greater than 0, got " + units);
     }
-    HeldBudget h =
-        held.computeIfAbsent(
-            budget, b -> new HeldBudget(BudgetTerms.DEFAULT_LEASE_TIME.toNanos(), nowNanos));
+    LeasedBudget h =
+        leasedBudgets.computeIfAbsent(
+            budget, b -> new LeasedBudget(BudgetTerms.DEFAULT_LEASE_TIME.toNanos(), nowNanos));
     if (h.spend(ticket, units, nowNanos)) {
       out.accept(new BudgetCommand.Granted(ticket));
     }
-    ask(budget, h, nowNanos, out);
+    requestLease(budget, h, nowNanos, out);
   }
 
-  /** Takes a lease that arrived. */
-  public void lease(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
-    HeldBudget h = held.get(lease.budget());
+  /** Adds a received lease and grants the waiting spends that it covers. */
+  public void leaseReceived(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
+    LeasedBudget h = leasedBudgets.get(lease.budget());
     if (h == null) {
       return;
     }
-    h.asked = false;
-    h.unanswered = 0;
+    h.requestPending = false;
+    h.unansweredRequests = 0;
     if (lease.units() > 0) {
-      h.add(lease.units(), lease.validNanos(), nowNanos);
-      h.serve(nowNanos, out);
+      h.addLease(lease.units(), lease.validNanos(), nowNanos);
+      h.grantWaiting(nowNanos, out);
     }
   }
 
-  /** Refuses spends that waited for too long and repeats requests without answer. */
+  /** Refuses spends that waited for {@link #MAX_WAIT} and repeats requests without a response. */
   public void tick(long nowNanos, Consumer<BudgetCommand> out) {
-    held.forEach(
+    leasedBudgets.forEach(
         (budget, h) -> {
-          h.expire(nowNanos, MAX_WAIT.toNanos(), out);
-          ask(budget, h, nowNanos, out);
+          h.refuseExpired(nowNanos, MAX_WAIT.toNanos(), out);
+          requestLease(budget, h, nowNanos, out);
         });
-    held.values().removeIf(h -> h.idle(nowNanos));
+    leasedBudgets.values().removeIf(h -> h.isIdle(nowNanos));
   }
 
-  /** Returns whether spends wait. */
-  public boolean hasWaiting() {
-    return held.values().stream().anyMatch(HeldBudget::hasWaiting);
+  /** Returns whether any spend waits for a lease. */
+  public boolean hasWaitingSpends() {
+    return leasedBudgets.values().stream().anyMatch(LeasedBudget::hasWaitingSpends);
   }
 
-  /** Returns the units held by budget, for a dump. */
-  public Map<String, Double> held(long nowNanos) {
+  /** Returns the leased and unspent units by budget, for a diagnostic dump. */
+  public Map<String, Double> availableUnits(long nowNanos) {
     Map<String, Double> all = new HashMap<>();
-    held.forEach((budget, h) -> all.put(budget, h.held(nowNanos)));
+    leasedBudgets.forEach((budget, h) -> all.put(budget, h.availableUnits(nowNanos)));
     return all;
   }
 
-  private void ask(String budget, HeldBudget h, long now, Consumer<BudgetCommand> out) {
-    double wanted = h.wanted(now);
-    if (wanted <= 0 || (h.askedNanos != 0 && now - h.askedNanos < ASK_PERIOD)) {
+  /** Requests a lease if more units are needed and no request is in progress. */
+  private void requestLease(String budget, LeasedBudget h, long now, Consumer<BudgetCommand> out) {
+    double requestedUnits = h.unitsToRequest(now);
+    if (requestedUnits <= 0
+        || (h.lastRequestNanos != 0 && now - h.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
       return;
     }
-    if (h.asked) {
-      if (now - h.askedNanos < ASK_TIMEOUT) {
+    if (h.requestPending) {
+      if (now - h.lastRequestNanos < REQUEST_TIMEOUT) {
         return;
       }
-      h.unanswered++;
+      h.unansweredRequests++;
     }
-    List<HostId> candidates = owners.of(budget);
+    List<HostId> candidates = owners.candidatesFor(budget);
     if (candidates.isEmpty()) {
       return;
     }
-    choose(h, candidates.size(), now);
-    h.asked = true;
-    h.askedNanos = now;
+    selectCandidate(h, candidates.size(), now);
+    h.requestPending = true;
+    h.lastRequestNanos = now;
     out.accept(
         new BudgetCommand.Send(
-            candidates.get(h.candidate), new BudgetLeaseRequest(budget, wanted)));
+            candidates.get(h.candidateIndex), new BudgetLeaseRequest(budget, requestedUnits)));
   }
 
-  private static void choose(HeldBudget h, int candidates, long now) {
-    if (h.candidate > 0 && now - h.fellBackNanos > FALL_BACK) {
-      h.candidate = 0;
-      h.unanswered = 0;
-    } else if (h.unanswered >= UNANSWERED_LIMIT) {
-      h.candidate = (h.candidate + 1) % candidates;
-      h.fellBackNanos = now;
-      h.unanswered = 0;
+  /** Chooses between the owner and its backup for the next request. */
+  private static void selectCandidate(LeasedBudget h, int candidates, long now) {
+    if (h.candidateIndex > 0 && now - h.backupSinceNanos > BACKUP_PERIOD) {
+      h.candidateIndex = 0;
+      h.unansweredRequests = 0;
+    } else if (h.unansweredRequests >= UNANSWERED_LIMIT) {
+      h.candidateIndex = (h.candidateIndex + 1) % candidates;
+      h.backupSinceNanos = now;
+      h.unansweredRequests = 0;
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
@@ -37,7 +37,11 @@
 
   static ShardEvent.FinishRequested toFinishRequest(LedgerFinish m) {
     return new ShardEvent.FinishRequested(
-        new LedgerKey(m.key()), m.nonce(), RecordState.valueOf(m.state()), m.status(), m.answer());
+        new LedgerKey(m.key()),
+        m.nonce(),
+        RecordState.valueOf(m.state()),
+        m.status(),
+        m.response());
   }
 
   static LedgerStarted toStartResponse(Attempt a, StartResult result) {
@@ -61,7 +65,7 @@
    * @throws IllegalArgumentException if the state is unknown
    */
   static KeyedRequestEvent toEvent(LedgerStarted m) {
-    boolean ownRecord = m.nonce().equals(m.askedNonce());
+    boolean ownRecord = m.nonce().equals(m.requestedNonce());
     if (m.state().equals(REFUSED)) {
       return startResponseReceived(
           new StartResult.NotStarted(ErrorCode.STORE_UNAVAILABLE, RETRY_AFTER));
@@ -76,7 +80,7 @@
     return startResponseReceived(
         ownRecord && state == RecordState.STARTED
             ? new StartResult.Started()
-            : new StartResult.Existing(state, true, m.status(), m.answer()));
+            : new StartResult.Existing(state, true, m.status(), m.response()));
   }
 
   private static KeyedRequestEvent startResponseReceived(StartResult result) {
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
@@ -116,7 +116,7 @@
       case LedgerMessage.LedgerStarted m -> {
         KeyedRequestEvent event = LedgerMessageTranslator.toEvent(m);
         LedgerKey key = new LedgerKey(m.key());
-        process(clock, () -> handleStartResponse(key, m.askedNonce(), event));
+        process(clock, () -> handleStartResponse(key, m.requestedNonce(), event));
       }
       case LedgerMessage.LedgerFinish m -> {
         ShardEvent.FinishRequested finish = LedgerMessageTranslator.toFinishRequest(m);
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.mustardlatch.core.membership.Rendezvous;
+import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.routing.Member;
@@ -30,6 +30,6 @@
             .toList();
     List<HostId> candidates =
         inStoreRegion.isEmpty() ? live.stream().map(Member::host).toList() : inStoreRegion;
-    return Rendezvous.owner("ledger/" + LedgerKey.shardName(shard), candidates);
+    return RendezvousHash.owner("ledger/" + LedgerKey.shardName(shard), candidates);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
@@ -11,54 +11,63 @@
 import org.mustardlatch.core.peer.MembershipMessage.State;
 import org.mustardlatch.core.peer.MembershipMessage.Suspicion;
 
-/** Observes neighbours, votes against silent ones and declares suspects dead. */
+/**
+ * Failure detector of one node: probes the nodes that it observes, votes that silent ones have
+ * failed, marks them suspect and declares suspects dead that do not refute in time.
+ */
 final class FailureDetector {
-  private final NodeState node;
+  private final MembershipState state;
   private final RumorMerger merger;
   private boolean isolated;
   private long isolatedSinceNanos;
 
-  FailureDetector(NodeState node, RumorMerger merger) {
-    this.node = node;
+  FailureDetector(MembershipState state, RumorMerger merger) {
+    this.state = state;
     this.merger = merger;
   }
 
   void tick(long now, Consumer<MembershipCommand> out) {
-    watchRegions(now);
-    watchIsolation(now);
-    for (Peer p : node.observed()) {
-      probe(p, now, out);
-      vote(p, now, out);
+    updateRegionReachability(now);
+    updateIsolation(now);
+    for (Peer p : state.observed()) {
+      probeIfSilent(p, now, out);
+      voteIfSilent(p, now, out);
     }
-    expire(now, out);
+    expireStates(now, out);
   }
 
-  /** A frame of a peer arrived. */
-  void heard(Peer p, long now) {
+  /** Records that a frame of a peer arrived. */
+  void recordFrame(Peer p, long now) {
     if (isolated) {
       isolated = false;
-      forgiveSilence(now);
+      restartSilenceTimers(now);
     }
-    p.heard(now);
-    if (node.regions.heard(p.rumor.region())) {
-      forgiveSilence(now);
+    p.recordFrame(now);
+    if (state.regionReachability.markReachable(p.rumor.region())) {
+      restartSilenceTimers(now);
     }
   }
 
-  /** Another observer misses a peer. */
-  void voted(HostId from, Suspicion s, long now) {
-    Peer p = node.peers.get(s.host());
-    if (p != null && p.rumor.incarnation() == s.incarnation() && p.rumor.counter() == s.counter()) {
+  /** Records the vote of another observer that a peer is silent. */
+  void recordVote(HostId from, Suspicion s, long now) {
+    Peer p = state.peers.get(s.host());
+    if (p != null
+        && p.rumor.incarnation() == s.incarnation()
+        && p.rumor.refutationCounter() == s.refutationCounter()) {
       p.votes.put(from, now);
     }
   }
 
-  /** Silence until now says nothing about the peers, because this node could not hear them. */
-  void forgiveSilence(long now) {
-    for (Peer p : node.peers.values()) {
+  /**
+   * Restarts the silence timers of all neighbours and the refutation timers of all suspects. Called
+   * when this node could not receive frames, so that the silence before says nothing about the
+   * peers.
+   */
+  void restartSilenceTimers(long now) {
+    for (Peer p : state.peers.values()) {
       p.clearVotes();
-      if (node.isNeighbour(p.host())) {
-        p.heardNanos = Math.max(p.heardNanos, now);
+      if (state.isNeighbour(p.host())) {
+        p.silentSinceNanos = Math.max(p.silentSinceNanos, now);
       }
       if (p.state() == State.SUSPECT) {
         p.stateSinceNanos = now;
@@ -66,127 +75,136 @@
     }
   }
 
-  private void watchRegions(long now) {
-    Map<RegionId, Boolean> silent = new HashMap<>();
-    for (Peer p : node.neighbours()) {
-      if (p.live() && !p.rumor.region().equals(node.self.region())) {
-        silent.merge(
+  private void updateRegionReachability(long now) {
+    Map<RegionId, Boolean> silentRegions = new HashMap<>();
+    for (Peer p : state.neighbours()) {
+      if (p.isLive() && !p.rumor.region().equals(state.self.region())) {
+        silentRegions.merge(
             p.rumor.region(),
-            now - p.heardNanos > MembershipTimes.SILENT_AFTER,
+            now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER,
             Boolean::logicalAnd);
       }
     }
-    silent.forEach(
+    silentRegions.forEach(
         (region, all) -> {
           if (all) {
-            node.regions.silent(region, now);
+            state.regionReachability.markUnreachable(region, now);
           }
         });
   }
 
-  private void watchIsolation(long now) {
-    Collection<Peer> neighbours = node.neighbours();
+  private void updateIsolation(long now) {
+    Collection<Peer> neighbours = state.neighbours();
     boolean nothingHeard =
         neighbours.size() > 1
-            && neighbours.stream().allMatch(p -> now - p.heardNanos > MembershipTimes.SILENT_AFTER);
+            && neighbours.stream()
+                .allMatch(p -> now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER);
     if (nothingHeard && !isolated) {
       isolatedSinceNanos = now;
     }
     isolated = nothingHeard;
   }
 
-  /** Returns whether silence is more likely a fault of this node than the death of all others. */
-  private boolean cannotJudge(long now) {
-    return isolated && now - isolatedSinceNanos < MembershipTimes.UNREACHABLE_HOLD;
+  /**
+   * Returns whether the silence of all neighbours is more likely a fault of this node than the
+   * failure of all of them.
+   */
+  private boolean isLikelyIsolated(long now) {
+    return isolated && now - isolatedSinceNanos < MembershipConstants.UNREACHABLE_GRACE_PERIOD;
   }
 
-  private void probe(Peer p, long now, Consumer<MembershipCommand> out) {
-    if (now - p.heardNanos > MembershipTimes.PROBE_AFTER
-        && now - p.probedNanos > MembershipTimes.URGENT_HEARTBEAT) {
-      p.probedNanos = now;
-      node.sendHeartbeat(p, now, out);
+  /** Sends a heartbeat to an observed peer that is silent, so that it can acknowledge. */
+  private void probeIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
+    if (now - p.silentSinceNanos > MembershipConstants.PROBE_AFTER
+        && now - p.lastProbeNanos > MembershipConstants.URGENT_HEARTBEAT_PERIOD) {
+      p.lastProbeNanos = now;
+      state.sendHeartbeat(p, now, out);
     }
   }
 
-  private void vote(Peer p, long now, Consumer<MembershipCommand> out) {
+  /** Votes against a silent peer; marks it suspect once another observer agrees. */
+  private void voteIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     RegionId region = p.rumor.region();
     long limit =
-        region.equals(node.self.region())
-            ? MembershipTimes.SILENT_AFTER
-            : MembershipTimes.REMOTE_SILENT_AFTER;
+        region.equals(state.self.region())
+            ? MembershipConstants.SILENT_AFTER
+            : MembershipConstants.REMOTE_SILENT_AFTER;
     if (p.state() != State.ALIVE
-        || node.leaving
-        || now - p.heardNanos <= limit
-        || cannotJudge(now)
-        || node.regions.unreachable(region)) {
+        || state.leaving
+        || now - p.silentSinceNanos <= limit
+        || isLikelyIsolated(now)
+        || state.regionReachability.isUnreachable(region)) {
       p.voting = false;
       return;
     }
     if (!p.voting) {
       p.voting = true;
       p.votingSinceNanos = now;
-      p.votedNanos = now - MembershipTimes.VOTE_PERIOD;
+      p.lastVoteNanos = now - MembershipConstants.VOTE_PERIOD;
     }
-    if (now - p.votedNanos >= MembershipTimes.VOTE_PERIOD) {
-      p.votedNanos = now;
+    if (now - p.lastVoteNanos >= MembershipConstants.VOTE_PERIOD) {
+      p.lastVoteNanos = now;
       sendVotes(p, out);
     }
     boolean agreed =
-        p.votes.values().stream().anyMatch(at -> now - at < MembershipTimes.VOTE_VALID);
-    if (agreed || now - p.votingSinceNanos >= MembershipTimes.LONE_VOTE) {
-      suspect(p, now, out);
+        p.votes.values().stream().anyMatch(at -> now - at < MembershipConstants.VOTE_LIFETIME);
+    if (agreed || now - p.votingSinceNanos >= MembershipConstants.LONE_VOTE_DELAY) {
+      markSuspect(p, now, out);
     }
   }
 
   private void sendVotes(Peer p, Consumer<MembershipCommand> out) {
-    Suspicion vote = new Suspicion(p.host(), p.rumor.incarnation(), p.rumor.counter());
-    for (HostId h : node.overlay.observersOf(p.host())) {
-      Peer observer = node.peers.get(h);
+    Suspicion vote = new Suspicion(p.host(), p.rumor.incarnation(), p.rumor.refutationCounter());
+    for (HostId h : state.overlay.observersOf(p.host())) {
+      Peer observer = state.peers.get(h);
       if (observer != null) {
         out.accept(new MembershipCommand.Send(h, observer.rumor.address(), vote));
       }
     }
   }
 
-  private void suspect(Peer p, long now, Consumer<MembershipCommand> out) {
-    merger.setState(p, Peer.withState(p.rumor, State.SUSPECT), now);
+  private void markSuspect(Peer p, long now, Consumer<MembershipCommand> out) {
+    merger.setRumor(p, Peer.withState(p.rumor, State.SUSPECT), now);
     out.accept(new MembershipCommand.Suspected(p.host()));
-    node.sendHeartbeat(p, now, out);
+    state.sendHeartbeat(p, now, out);
   }
 
-  private void expire(long now, Consumer<MembershipCommand> out) {
-    List<Peer> gone = new ArrayList<>();
-    for (Peer p : node.peers.values()) {
+  private void expireStates(long now, Consumer<MembershipCommand> out) {
+    List<Peer> expired = new ArrayList<>();
+    for (Peer p : state.peers.values()) {
       long age = now - p.stateSinceNanos;
       switch (p.state()) {
         case SUSPECT -> {
-          if (age >= MembershipTimes.REFUTATION && !held(p, now)) {
-            die(p, now, out);
+          if (age >= MembershipConstants.REFUTATION_TIMEOUT && !isDeathDeferred(p, now)) {
+            markDead(p, now, out);
           }
         }
         case DEAD, LEFT -> {
-          if (age > MembershipTimes.TOMBSTONE) {
-            gone.add(p);
+          if (age > MembershipConstants.TOMBSTONE_LIFETIME) {
+            expired.add(p);
           }
         }
         case ALIVE -> {}
       }
-      if (p.live() && node.regions.purged(p.rumor.region(), now)) {
-        die(p, now, out);
+      if (p.isLive() && state.regionReachability.isPurgeDue(p.rumor.region(), now)) {
+        markDead(p, now, out);
       }
     }
-    gone.forEach(p -> node.peers.remove(p.host()));
+    expired.forEach(p -> state.peers.remove(p.host()));
   }
 
-  private boolean held(Peer p, long now) {
-    boolean heardLately =
-        node.isNeighbour(p.host()) && now - p.heardNanos < MembershipTimes.SILENT_AFTER;
-    return heardLately || cannotJudge(now) || node.regions.unreachable(p.rumor.region());
+  /** Returns whether a suspect must not be declared dead yet. */
+  private boolean isDeathDeferred(Peer p, long now) {
+    boolean recentlyHeard =
+        state.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
+    return recentlyHeard
+        || isLikelyIsolated(now)
+        || state.regionReachability.isUnreachable(p.rumor.region());
   }
 
-  private void die(Peer p, long now, Consumer<MembershipCommand> out) {
-    merger.setState(p, Peer.withState(p.rumor, State.DEAD), now);
-    node.overlayRemove(p);
-    out.accept(new MembershipCommand.Forget(p.host()));
+  private void markDead(Peer p, long now, Consumer<MembershipCommand> out) {
+    merger.setRumor(p, Peer.withState(p.rumor, State.DEAD), now);
+    state.removeFromOverlay(p);
+    out.accept(new MembershipCommand.NodeRemoved(p.host()));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -15,33 +15,37 @@
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
 /**
- * Membership as one node sees it, design section 4.8. Deterministic: the same events, times and
- * random numbers give the same commands. Not safe for use by several threads.
+ * Membership protocol of one node (design section 4.8): keeps the list of live nodes by heartbeats,
+ * rumors and periodic comparison of views. Deterministic: the same events, times and random numbers
+ * give the same commands. Not thread-safe.
  */
 public final class Membership {
-  /** How often a {@link MembershipEvent.Tick} is expected. */
+  /** Expected interval between {@link MembershipEvent.Tick}s. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(500);
 
-  /** Ticks come a little early or late; a heartbeat that is due within this time goes out now. */
-  private static final long TICK_SLACK = Duration.ofMillis(100).toNanos();
+  /**
+   * Tolerance for early ticks: a heartbeat that is due within this time is sent at the current
+   * tick.
+   */
+  private static final long TICK_TOLERANCE = Duration.ofMillis(100).toNanos();
 
-  private final NodeState node;
+  private final MembershipState state;
   private final RumorMerger merger;
   private final FailureDetector detector;
-  private final Joiner joiner;
+  private final FleetJoiner joiner;
   private final RandomGenerator random;
-  private MemberList reported;
-  private long tickedNanos;
-  private long heartbeatNanos;
-  private long syncedNanos;
+  private MemberList reportedMembers;
+  private long lastTickNanos;
+  private long lastHeartbeatNanos;
+  private long lastSyncNanos;
 
   /**
-   * Creates the view of a node that knows nobody yet.
+   * Creates the membership of a node that has not joined yet.
    *
-   * @param incarnation incarnation of this process, greater than those of earlier processes under
-   *     the same host name, at least 1
-   * @param seeds peer addresses to join through, may include its own
-   * @param random chooses seeds and partners of exchanges
+   * @param incarnation incarnation of this process, at least 1 and greater than those of earlier
+   *     processes under the same host name
+   * @param seeds peer addresses to join through; may include this node's own
+   * @param random source for the choice of seeds and of peers to compare views with
    * @param nowNanos current monotonic time
    */
   public Membership(
@@ -53,187 +57,191 @@
     if (incarnation < 1) {
       throw new IllegalArgumentException("incarnation must be at least 1, got " + incarnation);
     }
-    this.node = new NodeState(self, incarnation);
-    this.merger = new RumorMerger(node);
-    this.detector = new FailureDetector(node, merger);
-    this.joiner = new Joiner(node, seeds, random, nowNanos);
+    this.state = new MembershipState(self, incarnation);
+    this.merger = new RumorMerger(state);
+    this.detector = new FailureDetector(state, merger);
+    this.joiner = new FleetJoiner(state, seeds, random, nowNanos);
     this.random = random;
-    this.reported = node.members(nowNanos);
-    this.tickedNanos = nowNanos;
-    this.heartbeatNanos = nowNanos;
-    this.syncedNanos = nowNanos;
-    node.selfChanged(nowNanos);
+    this.reportedMembers = state.members(nowNanos);
+    this.lastTickNanos = nowNanos;
+    this.lastHeartbeatNanos = nowNanos;
+    this.lastSyncNanos = nowNanos;
+    state.selfRumorChanged(nowNanos);
   }
 
   /**
-   * Takes one event.
+   * Handles one event.
    *
-   * @param nowNanos current monotonic time, never less than at the call before
-   * @param out receives the commands that follow from it, in order
+   * @param nowNanos current monotonic time, never less than in the previous call
+   * @param out receives the resulting commands in order
    */
   public void handle(MembershipEvent event, long nowNanos, Consumer<MembershipCommand> out) {
     detectPause(nowNanos, out);
     switch (event) {
       case MembershipEvent.Tick e -> tick(nowNanos, out);
-      case MembershipEvent.Received e -> received(e, nowNanos, out);
-      case MembershipEvent.Heard e -> heard(e.from(), e.incarnation(), nowNanos);
-      case MembershipEvent.NodesListed e -> joiner.listed(e.addresses());
-      case MembershipEvent.RevisionInForce e -> node.revision = e.revision();
+      case MembershipEvent.MessageReceived e -> handleMessage(e, nowNanos, out);
+      case MembershipEvent.FrameReceived e -> recordFrame(e.from(), e.incarnation(), nowNanos);
+      case MembershipEvent.NodesListed e -> joiner.updateListedAddresses(e.addresses());
+      case MembershipEvent.ActiveRevisionChanged e -> state.activeRevision = e.revision();
       case MembershipEvent.LeaveRequested e -> leave(nowNanos, out);
     }
-    node.refreshOverlay(nowNanos);
-    report(nowNanos, out);
+    state.refreshNeighbours(nowNanos);
+    reportMembers(nowNanos, out);
   }
 
   /** Returns the current incarnation of this node. */
   public long incarnation() {
-    return node.incarnation;
+    return state.incarnation;
   }
 
   /** Returns the live nodes as last reported by {@link MembershipCommand.MembersChanged}. */
   public MemberList members() {
-    return reported;
+    return reportedMembers;
   }
 
-  /** Returns whether another node answered a request to join. */
+  /** Returns whether another node sent its view or a join request. */
   public boolean joined() {
     return joiner.isJoined();
   }
 
-  /** Returns the nodes that this one exchanges heartbeats with. */
+  /** Returns the nodes with which this node exchanges heartbeats. */
   public List<HostId> neighbours() {
-    return node.neighbours().stream().map(Peer::host).toList();
+    return state.neighbours().stream().map(Peer::host).toList();
   }
 
-  /** Returns the peer address of a live or recently live node, or null when it is not known. */
+  /** Returns the peer address of a live or recently live node, or null if the host is unknown. */
   public @Nullable String address(HostId host) {
-    Peer p = node.peers.get(host);
+    Peer p = state.peers.get(host);
     return p == null ? null : p.rumor.address();
   }
 
-  /** Returns what is believed about a node, or null when it is not known. */
+  /** Returns the last reported state of a node, or null if the host is unknown. */
   public @Nullable State state(HostId host) {
-    Peer p = node.peers.get(host);
+    Peer p = state.peers.get(host);
     return p == null ? null : p.state();
   }
 
-  /** Returns the state for a dump. */
+  /** Returns the membership state for a diagnostic dump. */
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("incarnation", node.incarnation);
-    all.put("refutations", node.counter);
+    all.put("incarnation", state.incarnation);
+    all.put("refutations", state.refutationCounter);
     all.put("joined", joiner.isJoined());
-    all.put("rumors_waiting", node.rumors.size());
-    all.put("observers", node.observers().stream().map(HostId::value).toList());
-    all.put("observed", node.observed().stream().map(p -> p.host().value()).toList());
+    all.put("rumors_waiting", state.rumors.size());
+    all.put("observers", state.observers().stream().map(HostId::value).toList());
+    all.put("observed", state.observed().stream().map(p -> p.host().value()).toList());
     all.put(
-        "unreachable_regions", node.regions.unreachable().stream().map(Object::toString).toList());
-    Map<String, Object> known = new LinkedHashMap<>();
-    node.peers.forEach(
+        "unreachable_regions",
+        state.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
+    Map<String, Object> peerStates = new LinkedHashMap<>();
+    state.peers.forEach(
         (host, p) ->
-            known.put(
+            peerStates.put(
                 host.value(),
                 Map.of(
                     "state", p.state().name(),
                     "incarnation", p.rumor.incarnation(),
-                    "counter", p.rumor.counter(),
+                    "counter", p.rumor.refutationCounter(),
                     "region", p.rumor.region().value(),
                     "zone", p.rumor.zone().value(),
                     "address", p.rumor.address())));
-    all.put("peers", known);
+    all.put("peers", peerStates);
     return all;
   }
 
   private void detectPause(long now, Consumer<MembershipCommand> out) {
-    long gap = now - tickedNanos;
-    if (gap <= MembershipTimes.PAUSE) {
+    long gap = now - lastTickNanos;
+    if (gap <= MembershipConstants.PAUSE_THRESHOLD) {
       return;
     }
-    tickedNanos = now;
-    detector.forgiveSilence(now);
-    if (gap >= MembershipTimes.FENCE_PAUSE) {
-      merger.raiseIncarnation(node.incarnation + 1, gap, now, out);
+    lastTickNanos = now;
+    detector.restartSilenceTimers(now);
+    if (gap >= MembershipConstants.FENCING_PAUSE_THRESHOLD) {
+      merger.raiseIncarnation(state.incarnation + 1, gap, now, out);
     }
   }
 
   private void tick(long now, Consumer<MembershipCommand> out) {
-    tickedNanos = now;
-    node.refreshOverlay(now);
+    lastTickNanos = now;
+    state.refreshNeighbours(now);
     joiner.tick(now, out);
     detector.tick(now, out);
     long period =
-        node.rumors.isEmpty() ? MembershipTimes.HEARTBEAT : MembershipTimes.URGENT_HEARTBEAT;
-    if (now - heartbeatNanos >= period - TICK_SLACK) {
-      heartbeatNanos = now;
+        state.rumors.isEmpty()
+            ? MembershipConstants.HEARTBEAT_PERIOD
+            : MembershipConstants.URGENT_HEARTBEAT_PERIOD;
+    if (now - lastHeartbeatNanos >= period - TICK_TOLERANCE) {
+      lastHeartbeatNanos = now;
       sendHeartbeats(now, out);
     }
-    if (now - syncedNanos >= MembershipTimes.SYNC_PERIOD) {
-      syncedNanos = now;
-      sync(out);
+    if (now - lastSyncNanos >= MembershipConstants.SYNC_PERIOD) {
+      lastSyncNanos = now;
+      sendSyncs(out);
     }
   }
 
   private void sendHeartbeats(long now, Consumer<MembershipCommand> out) {
-    for (HostId h : node.observers()) {
-      Peer p = node.peers.get(h);
+    for (HostId h : state.observers()) {
+      Peer p = state.peers.get(h);
       if (p != null) {
-        node.sendHeartbeat(p, now, out);
+        state.sendHeartbeat(p, now, out);
       }
     }
   }
 
-  /** Compares views with one live neighbour and with one node that is thought dead. */
-  private void sync(Consumer<MembershipCommand> out) {
-    List<Peer> neighbours = new ArrayList<>(node.neighbours());
-    List<Peer> dead = node.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
+  /** Sends the digest of this view to one random neighbour and to one random node in state DEAD. */
+  private void sendSyncs(Consumer<MembershipCommand> out) {
+    List<Peer> neighbours = new ArrayList<>(state.neighbours());
+    List<Peer> dead = state.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
     for (List<Peer> candidates : List.of(neighbours, dead)) {
       if (!candidates.isEmpty()) {
         Peer p = candidates.get(random.nextInt(candidates.size()));
         out.accept(
             new MembershipCommand.Send(
-                p.host(), p.rumor.address(), new MembershipMessage.Sync(node.digest())));
+                p.host(), p.rumor.address(), new MembershipMessage.Sync(state.digest())));
       }
     }
   }
 
-  private void received(MembershipEvent.Received e, long now, Consumer<MembershipCommand> out) {
-    if (!heard(e.from(), e.incarnation(), now)) {
+  private void handleMessage(
+      MembershipEvent.MessageReceived e, long now, Consumer<MembershipCommand> out) {
+    if (!recordFrame(e.from(), e.incarnation(), now)) {
       return;
     }
     switch (e.message()) {
       case MembershipMessage.Heartbeat m -> {
         merger.merge(m.rumors(), now, out);
-        node.sendAck(e.from(), m.sequence(), now, out);
-        greet(e.from(), out);
+        state.sendAck(e.from(), m.sequence(), now, out);
+        syncIfUnknown(e.from(), out);
       }
       case MembershipMessage.HeartbeatAck m -> merger.merge(m.rumors(), now, out);
       case MembershipMessage.Join m -> {
         merger.merge(List.of(m.self()), now, out);
-        joiner.joined();
-        reply(e.from(), new MembershipMessage.View(node.view(), false), out);
+        joiner.markJoined();
+        reply(e.from(), new MembershipMessage.View(state.view(), false), out);
       }
-      case MembershipMessage.View m -> merge(e.from(), m, now, out);
-      case MembershipMessage.Suspicion m -> detector.voted(e.from(), m, now);
+      case MembershipMessage.View m -> mergeView(e.from(), m, now, out);
+      case MembershipMessage.Suspicion m -> detector.recordVote(e.from(), m, now);
       case MembershipMessage.Sync m -> {
-        if (m.digest() != node.digest()) {
-          reply(e.from(), new MembershipMessage.View(node.view(), true), out);
+        if (m.digest() != state.digest()) {
+          reply(e.from(), new MembershipMessage.View(state.view(), true), out);
         }
       }
     }
   }
 
-  /** Asks a sender that is not known for its view. */
-  private void greet(HostId from, Consumer<MembershipCommand> out) {
-    if (!node.peers.containsKey(from)) {
-      reply(from, new MembershipMessage.Sync(node.digest()), out);
+  /** Sends a digest to an unknown sender, which responds with its view. */
+  private void syncIfUnknown(HostId from, Consumer<MembershipCommand> out) {
+    if (!state.peers.containsKey(from)) {
+      reply(from, new MembershipMessage.Sync(state.digest()), out);
     }
   }
 
-  private void merge(
+  private void mergeView(
       HostId from, MembershipMessage.View view, long now, Consumer<MembershipCommand> out) {
     merger.merge(view.rumors(), now, out);
-    joiner.joined();
-    if (view.replyWanted()) {
+    joiner.markJoined();
+    if (view.replyRequested()) {
       List<Rumor> newer = newerThan(view.rumors());
       if (!newer.isEmpty()) {
         reply(from, new MembershipMessage.View(newer, false), out);
@@ -242,16 +250,16 @@
   }
 
   private List<Rumor> newerThan(List<Rumor> theirs) {
-    Map<HostId, Rumor> known = new HashMap<>();
-    theirs.forEach(r -> known.put(r.host(), r));
-    return node.view().stream()
+    Map<HostId, Rumor> reportedByHost = new HashMap<>();
+    theirs.forEach(r -> reportedByHost.put(r.host(), r));
+    return state.view().stream()
         .filter(
             r -> {
-              Rumor other = known.get(r.host());
+              Rumor other = reportedByHost.get(r.host());
               if (other == null) {
                 return true;
               }
-              int order = RumorMerger.compare(r, other);
+              int order = RumorMerger.compareVersions(r, other);
               return order > 0 || (order == 0 && r.state().compareTo(other.state()) > 0);
             })
         .toList();
@@ -261,35 +269,35 @@
     out.accept(new MembershipCommand.Send(to, address(to), message));
   }
 
-  /** Returns false when the frame is of an incarnation that was superseded. */
-  private boolean heard(HostId from, long incarnation, long now) {
-    Peer p = node.peers.get(from);
+  /** Records a frame; returns false if its incarnation has been superseded. */
+  private boolean recordFrame(HostId from, long incarnation, long now) {
+    Peer p = state.peers.get(from);
     if (p == null) {
       return true;
     }
     if (incarnation < p.rumor.incarnation()) {
       return false;
     }
-    detector.heard(p, now);
+    detector.recordFrame(p, now);
     return true;
   }
 
   private void leave(long now, Consumer<MembershipCommand> out) {
-    node.leaving = true;
-    node.selfChanged(now);
-    node.neighbours().forEach(p -> node.sendHeartbeat(p, now, out));
+    state.leaving = true;
+    state.selfRumorChanged(now);
+    state.neighbours().forEach(p -> state.sendHeartbeat(p, now, out));
   }
 
-  private void report(long now, Consumer<MembershipCommand> out) {
-    if (!node.membersDirty
-        && node.regions.allReachable()
-        && reported.unreachableRegions().isEmpty()) {
+  private void reportMembers(long now, Consumer<MembershipCommand> out) {
+    if (!state.membersDirty
+        && state.regionReachability.allReachable()
+        && reportedMembers.unreachableRegions().isEmpty()) {
       return;
     }
-    node.membersDirty = false;
-    MemberList list = node.members(now);
-    if (!list.equals(reported)) {
-      reported = list;
+    state.membersDirty = false;
+    MemberList list = state.members(now);
+    if (!list.equals(reportedMembers)) {
+      reportedMembers = list;
       out.accept(new MembershipCommand.MembersChanged(list));
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/Rendezvous.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RendezvousHash.java
@@ -10,23 +10,26 @@
 import org.mustardlatch.core.model.HostId;
 
 /** Rendezvous hashing: every node ranks the hosts for a key in the same order. */
-public final class Rendezvous {
+public final class RendezvousHash {
   private static final HashFunction HASH = Hashing.farmHashFingerprint64();
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
-  /** Returns at most {@code count} hosts, the owner of the key first. */
+  /**
+   * Returns the first {@code count} hosts in rank order for the key, its owner first; fewer if
+   * there are fewer hosts.
+   */
   public static List<HostId> rank(String key, Collection<HostId> hosts, int count) {
     long k = hash(key);
     return hosts.stream()
-        .map(h -> new Scored(h, score(k, hash(h.value()))))
+        .map(h -> new ScoredHost(h, score(k, hash(h.value()))))
         .sorted(Comparator.naturalOrder())
         .limit(count)
-        .map(Scored::host)
+        .map(ScoredHost::host)
         .toList();
   }
 
-  /** Returns the owner of the key, or empty when there are no hosts. */
+  /** Returns the owner of the key, or empty if there are no hosts. */
   public static Optional<HostId> owner(String key, Collection<HostId> hosts) {
     return rank(key, hosts, 1).stream().findFirst();
   }
@@ -45,9 +48,9 @@
   }
 
   /** A host with its score for some key; the highest score comes first. */
-  record Scored(HostId host, long score) implements Comparable<Scored> {
+  record ScoredHost(HostId host, long score) implements Comparable<ScoredHost> {
     @Override
-    public int compareTo(Scored other) {
+    public int compareTo(ScoredHost other) {
       int byScore = Long.compare(other.score, score);
       return byScore != 0 ? byScore : host.compareTo(other.host);
     }
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
@@ -5,96 +5,103 @@
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
-/** Merges rumors of others into the state, and refutes those about this node. */
+/**
+ * Merges received rumors into the membership state and refutes those that report this node as
+ * suspect, dead or left.
+ */
 final class RumorMerger {
-  private final NodeState node;
+  private final MembershipState state;
 
-  RumorMerger(NodeState node) {
-    this.node = node;
+  RumorMerger(MembershipState state) {
+    this.state = state;
   }
 
   void merge(List<Rumor> rumors, long now, Consumer<MembershipCommand> out) {
     for (Rumor r : rumors) {
-      if (r.host().equals(node.self.host())) {
-        aboutSelf(r, now, out);
+      if (r.host().equals(state.self.host())) {
+        mergeSelfRumor(r, now, out);
       } else {
-        aboutPeer(r, now, out);
+        mergePeerRumor(r, now, out);
       }
     }
   }
 
-  private void aboutSelf(Rumor r, long now, Consumer<MembershipCommand> out) {
-    if (r.incarnation() > node.incarnation) {
-      // An earlier process under this name had a clock that was ahead.
+  private void mergeSelfRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
+    if (r.incarnation() > state.incarnation) {
+      // The clock of an earlier process under this name was ahead.
       raiseIncarnation(r.incarnation() + 1, 0, now, out);
-    } else if (r.incarnation() == node.incarnation
-        && r.counter() >= node.counter
+    } else if (r.incarnation() == state.incarnation
+        && r.refutationCounter() >= state.refutationCounter
         && r.state() != State.ALIVE
-        && !node.leaving) {
-      node.counter = r.counter() + 1;
-      node.selfChanged(now);
+        && !state.leaving) {
+      state.refutationCounter = r.refutationCounter() + 1;
+      state.selfRumorChanged(now);
     }
   }
 
-  /** Starts a new incarnation; attempts of the earlier one are void. */
+  /** Starts a new incarnation; attempts of the previous one must be cancelled. */
   void raiseIncarnation(long to, long pausedNanos, long now, Consumer<MembershipCommand> out) {
-    node.incarnation = to;
-    node.counter = 0;
-    node.selfChanged(now);
+    state.incarnation = to;
+    state.refutationCounter = 0;
+    state.selfRumorChanged(now);
     out.accept(new MembershipCommand.Fenced(to, pausedNanos));
   }
 
-  private void aboutPeer(Rumor r, long now, Consumer<MembershipCommand> out) {
-    Peer p = node.peers.get(r.host());
+  private void mergePeerRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
+    Peer p = state.peers.get(r.host());
     if (p == null) {
-      // Unknown dead nodes are not recorded, or their records would be passed on without end.
+      // Unknown dead nodes are not recorded; otherwise nodes would keep passing on their records
+      // forever.
       if (r.state() == State.ALIVE || r.state() == State.SUSPECT) {
         Peer added = new Peer(r, now);
-        node.peers.put(r.host(), added);
-        node.overlayAdd(added);
-        node.rumors.add(r);
+        state.peers.put(r.host(), added);
+        state.addToOverlay(added);
+        state.rumors.add(r);
       }
       return;
     }
-    int order = compare(r, p.rumor);
-    if (order > 0 || (order == 0 && r.state().compareTo(p.state()) > 0)) {
-      replace(p, r, now, out);
+    int versionOrder = compareVersions(r, p.rumor);
+    if (versionOrder > 0 || (versionOrder == 0 && r.state().compareTo(p.state()) > 0)) {
+      updatePeer(p, r, now, out);
     }
   }
 
-  private void replace(Peer p, Rumor r, long now, Consumer<MembershipCommand> out) {
-    boolean wasLive = p.live();
+  private void updatePeer(Peer p, Rumor r, long now, Consumer<MembershipCommand> out) {
+    boolean wasLive = p.isLive();
     boolean wasAlive = p.state() == State.ALIVE;
-    // A death that was not announced by a suspicion becomes one, so that the node can refute it.
-    State state = r.state() == State.DEAD && wasAlive ? State.SUSPECT : r.state();
-    setState(p, Peer.withState(r, state), now);
-    if (p.live() && !wasLive) {
-      p.heardNanos = now;
-      node.overlayAdd(p);
-    } else if (!p.live() && wasLive) {
-      node.overlayRemove(p);
-      out.accept(new MembershipCommand.Forget(p.host()));
+    // A death without a preceding suspicion is recorded as a suspicion, so that the node can refute
+    // it.
+    State mergedState = r.state() == State.DEAD && wasAlive ? State.SUSPECT : r.state();
+    setRumor(p, Peer.withState(r, mergedState), now);
+    if (p.isLive() && !wasLive) {
+      p.silentSinceNanos = now;
+      state.addToOverlay(p);
+    } else if (!p.isLive() && wasLive) {
+      state.removeFromOverlay(p);
+      out.accept(new MembershipCommand.NodeRemoved(p.host()));
     }
     if (p.state() == State.SUSPECT) {
       out.accept(new MembershipCommand.Suspected(p.host()));
-      if (node.isNeighbour(p.host())) {
-        node.sendHeartbeat(p, now, out);
+      if (state.isNeighbour(p.host())) {
+        state.sendHeartbeat(p, now, out);
       }
     }
   }
 
-  /** Gives a peer a new rumor and spreads it. */
-  void setState(Peer p, Rumor rumor, long now) {
-    node.membersDirty |= rumor.incarnation() != p.rumor.incarnation();
+  /** Replaces the rumor about a peer, resets its votes and queues the rumor for sending. */
+  void setRumor(Peer p, Rumor rumor, long now) {
+    state.membersDirty |= rumor.incarnation() != p.rumor.incarnation();
     p.rumor = rumor;
     p.stateSinceNanos = now;
     p.clearVotes();
-    node.rumors.add(rumor);
+    state.rumors.add(rumor);
   }
 
-  /** Compares by incarnation and refutation counter. */
-  static int compare(Rumor a, Rumor b) {
+  /** Compares by incarnation, then by refutation counter. */
+  static int compareVersions(Rumor a, Rumor b) {
     int byIncarnation = Long.compare(a.incarnation(), b.incarnation());
-    return byIncarnation != 0 ? byIncarnation : Long.compare(a.counter(), b.counter());
+    return byIncarnation != 0
+        ? byIncarnation
+        : Long.compare(a.refutationCounter(), b.refutationCounter());
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
@@ -8,11 +8,11 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 
-/** Rumors that still have to be passed on, the least often sent first. */
+/** Queue of rumors that this node still has to send; the least often sent have priority. */
 final class RumorQueue {
   private static final class Entry {
     final Rumor rumor;
-    int sent;
+    int timesSent;
 
     Entry(Rumor rumor) {
       this.rumor = rumor;
@@ -21,7 +21,7 @@
 
   private final Map<HostId, Entry> entries = new LinkedHashMap<>();
 
-  /** Adds a rumor; replaces an earlier one about the same host. */
+  /** Adds a rumor, replacing an earlier one about the same host. */
   void add(Rumor rumor) {
     entries.put(rumor.host(), new Entry(rumor));
   }
@@ -34,30 +34,33 @@
     return entries.size();
   }
 
-  /** Returns the rumors for one message and counts them as sent. */
+  /**
+   * Returns at most {@code max} rumors for one message, counts them as sent and drops those that
+   * were sent often enough.
+   */
   List<Rumor> take(int max, int fleetSize) {
     if (entries.isEmpty()) {
       return new ArrayList<>();
     }
     List<Entry> chosen = new ArrayList<>(entries.values());
     if (chosen.size() > max) {
-      chosen.sort(Comparator.comparingInt(e -> e.sent));
+      chosen.sort(Comparator.comparingInt(e -> e.timesSent));
       chosen = chosen.subList(0, max);
     }
-    int limit = retransmissions(fleetSize);
+    int limit = maxTransmissions(fleetSize);
     List<Rumor> rumors = new ArrayList<>(chosen.size() + 2);
     for (Entry e : chosen) {
       rumors.add(e.rumor);
-      if (++e.sent >= limit) {
+      if (++e.timesSent >= limit) {
         entries.remove(e.rumor.host());
       }
     }
     return rumors;
   }
 
-  /** Returns how often each node sends a rumor in a fleet of this size. */
-  static int retransmissions(int fleetSize) {
+  /** Returns how many times each node sends a rumor in a fleet of this size. */
+  static int maxTransmissions(int fleetSize) {
     int log = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, fleetSize));
-    return MembershipTimes.RETRANSMIT_FACTOR * log;
+    return MembershipConstants.RETRANSMIT_FACTOR * log;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
@@ -8,32 +8,33 @@
 import org.mustardlatch.core.model.Fingerprint;
 
 /**
- * Which request contents were on engines that crashed, as one node knows it. Two different crashes
- * quarantine a fingerprint. Evidence ends 10 minutes after the last crash.
+ * Record that one node keeps of the request contents (fingerprints) that were running on engines
+ * when they crashed. Two different crashes quarantine a fingerprint. Evidence expires 10 minutes
+ * after the last crash.
  */
 public final class CrashEvidence {
-  /** How long evidence and quarantine last after the last crash, nanoseconds. */
+  /** Lifetime of evidence and quarantine after the last crash, nanoseconds. */
   public static final long LIFETIME_NANOS = 600_000_000_000L;
 
-  /** Crashes after which a fingerprint is quarantined. */
+  /** Number of different crashes after which a fingerprint is quarantined. */
   public static final int QUARANTINE_CRASHES = 2;
 
-  /** Fingerprints kept; beyond that the oldest evidence is dropped. */
+  /** Maximum number of fingerprints; beyond that the oldest evidence is dropped. */
   public static final int MAX_FINGERPRINTS = 20_000;
 
-  /** What is known about a fingerprint. */
-  public enum Standing {
-    /** No crash is known. */
+  /** Level of suspicion against a fingerprint. */
+  public enum SuspicionLevel {
+    /** No crash is on record. */
     CLEAN,
-    /** It was on one engine that crashed, perhaps with others. */
+    /** The fingerprint was running on one engine that crashed, possibly along with others. */
     SUSPECT,
-    /** It must not run. */
+    /** The fingerprint must not run. */
     QUARANTINED
   }
 
   private static final class Entry {
-    final Set<String> crashes = new HashSet<>();
-    long lastNanos;
+    final Set<String> crashIds = new HashSet<>();
+    long lastCrashNanos;
   }
 
   private final LinkedHashMap<Fingerprint, Entry> entries = new LinkedHashMap<>();
@@ -43,40 +44,45 @@
 
   /**
    * Records that an engine crashed while it ran these fingerprints. The same crash counts once,
-   * however often it is reported.
+   * even if it is reported several times.
    *
-   * @param crashId name of the crash, unique in the fleet
+   * @param crashId identifier of the crash, unique in the fleet
    * @param nowNanos monotonic time of this node
    */
-  public void crashed(String crashId, List<Fingerprint> running, long nowNanos) {
+  public void recordCrash(String crashId, List<Fingerprint> running, long nowNanos) {
     for (Fingerprint f : running) {
       Entry e = entries.remove(f);
-      if (e == null || expired(e, nowNanos)) {
+      if (e == null || isExpired(e, nowNanos)) {
         e = new Entry();
       }
-      if (e.crashes.size() < QUARANTINE_CRASHES) {
-        e.crashes.add(crashId);
+      if (e.crashIds.size() < QUARANTINE_CRASHES) {
+        e.crashIds.add(crashId);
       }
-      e.lastNanos = nowNanos;
-      // Insertion order is order of the last crash, so the eldest entry is the first to expire.
+      e.lastCrashNanos = nowNanos;
+      // Entries are ordered by their last crash, so the eldest one is the first to expire.
       entries.put(f, e);
     }
-    trim(nowNanos);
+    evictOldest(nowNanos);
   }
 
-  /** Returns what is known about a fingerprint now. */
-  public Standing standing(Fingerprint fingerprint, long nowNanos) {
+  /** Returns the suspicion level of a fingerprint. */
+  public SuspicionLevel suspicionLevel(Fingerprint fingerprint, long nowNanos) {
     Entry e = entries.get(fingerprint);
-    if (e == null || expired(e, nowNanos)) {
-      return Standing.CLEAN;
+    if (e == null || isExpired(e, nowNanos)) {
+      return SuspicionLevel.CLEAN;
     }
-    return e.crashes.size() >= QUARANTINE_CRASHES ? Standing.QUARANTINED : Standing.SUSPECT;
+    return e.crashIds.size() >= QUARANTINE_CRASHES
+        ? SuspicionLevel.QUARANTINED
+        : SuspicionLevel.SUSPECT;
   }
 
-  /** Forgets a suspect that ran to its end without a crash; a quarantine stays. */
+  /**
+   * Removes the evidence against a suspect that ran to completion without a crash; a quarantine
+   * stays.
+   */
   public void clear(Fingerprint fingerprint) {
     Entry e = entries.get(fingerprint);
-    if (e != null && e.crashes.size() < QUARANTINE_CRASHES) {
+    if (e != null && e.crashIds.size() < QUARANTINE_CRASHES) {
       entries.remove(fingerprint);
     }
   }
@@ -86,18 +92,18 @@
     return entries.size();
   }
 
-  private void trim(long nowNanos) {
+  private void evictOldest(long nowNanos) {
     var eldest = entries.entrySet().iterator();
     while (eldest.hasNext()) {
       Map.Entry<Fingerprint, Entry> e = eldest.next();
-      if (entries.size() <= MAX_FINGERPRINTS && !expired(e.getValue(), nowNanos)) {
+      if (entries.size() <= MAX_FINGERPRINTS && !isExpired(e.getValue(), nowNanos)) {
         return;
       }
       eldest.remove();
     }
   }
 
-  private static boolean expired(Entry e, long nowNanos) {
-    return nowNanos - e.lastNanos >= LIFETIME_NANOS;
+  private static boolean isExpired(Entry e, long nowNanos) {
+    return nowNanos - e.lastCrashNanos >= LIFETIME_NANOS;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
@@ -3,33 +3,35 @@
 import java.time.Duration;
 
 /**
- * Whether a fresh node may serve: it has a revision, and it has read the object service or been
- * connected to peers for the time within which an accepted revision reaches every node.
+ * Decides whether the configuration of a new node is recent enough to serve requests. The node
+ * needs a revision at least as high as every one reported, and must have read the object service or
+ * been connected to peers for the time within which an accepted revision reaches every node.
  */
 final class Readiness {
+  /** Time without a higher reported revision after which peers alone suffice, nanoseconds. */
   static final long PEERS_ONLY_WAIT = Duration.ofSeconds(4).toNanos();
 
   private boolean storeRead;
-  private boolean contact;
-  private long quietSinceNanos;
-  private long highest;
+  private boolean peerReported;
+  private long highestSinceNanos;
+  private long highestRevision;
 
-  void storeRead(long revision) {
+  void recordStoreRead(long revision) {
     storeRead = true;
-    highest = Math.max(highest, revision);
+    highestRevision = Math.max(highestRevision, revision);
   }
 
-  /** A peer has a revision in force. */
-  void heard(long revision, long now) {
-    if (!contact || revision > highest) {
-      contact = true;
-      highest = Math.max(highest, revision);
-      quietSinceNanos = now;
+  /** Records the active revision that a peer reported. */
+  void recordPeerRevision(long revision, long now) {
+    if (!peerReported || revision > highestRevision) {
+      peerReported = true;
+      highestRevision = Math.max(highestRevision, revision);
+      highestSinceNanos = now;
     }
   }
 
-  boolean ready(long revision, long now) {
-    boolean recent = storeRead || (contact && now - quietSinceNanos >= PEERS_ONLY_WAIT);
-    return revision > 0 && revision >= highest && recent;
+  boolean isReady(long revision, long now) {
+    boolean recent = storeRead || (peerReported && now - highestSinceNanos >= PEERS_ONLY_WAIT);
+    return revision > 0 && revision >= highestRevision && recent;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.membership.MemberList;
-import org.mustardlatch.core.membership.Rendezvous;
+import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.peer.RolloutMessage;
@@ -25,44 +25,45 @@
 import org.mustardlatch.core.routing.Member;
 
 /**
- * Spread of the manifest as one node sees it, design section 4.7. The revision in force never goes
- * back. Deterministic; not safe for use by several threads.
+ * Distribution of the manifest in the view of one node (design section 4.7). The active revision
+ * never decreases. Deterministic; not thread-safe.
  */
 public final class Rollout {
-  /** How often a {@link RolloutEvent.Tick} is expected. */
+  /** Expected interval between {@link RolloutEvent.Tick}s. */
   public static final Duration TICK_PERIOD = Duration.ofMillis(500);
 
-  /** Nodes of each region that watch the object service. */
+  /** Number of nodes in each region that watch the object service. */
   public static final int WATCHERS = 3;
 
   private static final String WATCH_KEY = "watch";
 
   /**
-   * Time after which another holder is asked. Of the bound of 4 s this leaves eight attempts; at
-   * 900 ms and 10% loss a few nodes in a thousand were late.
+   * Time without a response after which the revision is requested from another holder. It allows
+   * eight attempts within the bound of 4 s; with 900 ms and 10% message loss a few nodes in a
+   * thousand exceeded the bound.
    */
   private static final long FETCH_TIMEOUT = Duration.ofMillis(400).toNanos();
 
-  private record Fetch(long revision, HostId from, long atNanos) {
-    boolean late(long now) {
-      return now - atNanos >= FETCH_TIMEOUT;
+  private record Fetch(long revision, HostId from, long sentNanos) {
+    boolean timedOut(long now) {
+      return now - sentNanos >= FETCH_TIMEOUT;
     }
   }
 
   private final HostId self;
   private final Readiness readiness = new Readiness();
-  private final Map<HostId, Long> revisions = new TreeMap<>();
+  private final Map<HostId, Long> peerRevisions = new TreeMap<>();
   private MemberList members = new MemberList(List.of(), Set.of());
   private List<HostId> neighbours = List.of();
   private long revision;
   private String text = "";
   private String digest = "";
-  private long applying;
+  private long applyingRevision;
   private String applyingText = "";
-  private long rejected;
-  private long awaitingAcceptance;
+  private long rejectedRevision;
+  private long awaitedRevision;
   private @Nullable Fetch fetch;
-  private @Nullable HostId source;
+  private @Nullable HostId applyingSource;
   private boolean watching;
   private boolean ready;
 
@@ -72,114 +73,119 @@
   }
 
   /**
-   * Takes one event.
+   * Handles one event.
    *
-   * @param nowNanos current monotonic time, never less than at the call before
-   * @param out receives the commands that follow from it, in order
+   * @param nowNanos current monotonic time, never less than in the previous call
+   * @param out receives the resulting commands in order
    */
   public void handle(RolloutEvent event, long nowNanos, Consumer<RolloutCommand> out) {
     switch (event) {
       case RolloutEvent.Tick e -> retryFetch(nowNanos, out);
-      case RolloutEvent.Received e -> received(e.from(), e.message(), nowNanos, out);
-      case RolloutEvent.RevisionHeard e -> heard(e.from(), e.revision(), nowNanos, out);
+      case RolloutEvent.MessageReceived e -> handleMessage(e.from(), e.message(), nowNanos, out);
+      case RolloutEvent.PeerRevisionReported e ->
+          recordPeerRevision(e.from(), e.revision(), nowNanos, out);
       case RolloutEvent.MembersChanged e -> membersChanged(e, out);
-      case RolloutEvent.Stored e -> {
-        readiness.storeRead(e.revision());
+      case RolloutEvent.StoreRead e -> {
+        readiness.recordStoreRead(e.revision());
         apply(e.revision(), e.text(), null, out);
       }
       case RolloutEvent.Published e -> {
-        awaitingAcceptance = Math.max(awaitingAcceptance, e.revision());
+        awaitedRevision = Math.max(awaitedRevision, e.revision());
         apply(e.revision(), e.text(), null, out);
       }
       case RolloutEvent.Applied e -> applied(e.revision(), out);
       case RolloutEvent.Rejected e -> {
-        rejected = Math.max(rejected, e.revision());
-        applying = 0;
+        rejectedRevision = Math.max(rejectedRevision, e.revision());
+        applyingRevision = 0;
       }
     }
     checkAccepted(out);
     checkReady(nowNanos, out);
   }
 
-  /** Returns the revision in force; 0 for none. */
+  /** Returns the active revision; 0 for none. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the text in force; empty for none. */
+  /** Returns the text of the active revision; empty for none. */
   public String text() {
     return text;
   }
 
-  /** Returns whether the node may serve requests as far as its configuration is concerned. */
+  /** Returns whether the configuration of this node is recent enough to serve requests. */
   public boolean ready() {
     return ready;
   }
 
-  /** Returns whether this node holds a watch on the object service. */
+  /** Returns whether this node watches the object service. */
   public boolean watching() {
     return watching;
   }
 
-  /** Returns the state for a dump. */
+  /** Returns the rollout state for a diagnostic dump. */
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("revision", revision);
     all.put("digest", digest);
     all.put("ready", ready);
     all.put("watching", watching);
-    all.put("rejected", rejected);
-    all.put("awaiting_acceptance", awaitingAcceptance);
-    Map<String, Long> known = new LinkedHashMap<>();
-    revisions.forEach((host, r) -> known.put(host.value(), r));
-    all.put("revisions", known);
+    all.put("rejected", rejectedRevision);
+    all.put("awaiting_acceptance", awaitedRevision);
+    Map<String, Long> revisionByHost = new LinkedHashMap<>();
+    peerRevisions.forEach((host, r) -> revisionByHost.put(host.value(), r));
+    all.put("revisions", revisionByHost);
     return all;
   }
 
-  private void received(
+  private void handleMessage(
       HostId from, RolloutMessage message, long now, Consumer<RolloutCommand> out) {
     switch (message) {
-      case ConfigOffer m -> heard(from, m.revision(), now, out);
-      case ConfigApplied m -> heard(from, m.revision(), now, out);
+      case ConfigOffer m -> recordPeerRevision(from, m.revision(), now, out);
+      case ConfigApplied m -> recordPeerRevision(from, m.revision(), now, out);
       case ConfigFetch m -> {
         if (revision >= m.revision()) {
           out.accept(new RolloutCommand.Send(from, new ConfigBody(revision, text)));
         }
       }
       case ConfigBody m -> {
-        readiness.heard(m.revision(), now);
+        readiness.recordPeerRevision(m.revision(), now);
         apply(m.revision(), m.text(), from, out);
       }
     }
   }
 
-  /** Another node has a revision in force. */
-  private void heard(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
-    revisions.put(from, theirs);
-    readiness.heard(theirs, now);
-    if (wanted(theirs) && (fetch == null || fetch.revision() < theirs || fetch.late(now))) {
-      fetchFrom(from, theirs, now, out);
+  /** Records the active revision of another node and fetches it if it is newer. */
+  private void recordPeerRevision(
+      HostId from, long peerRevision, long now, Consumer<RolloutCommand> out) {
+    peerRevisions.put(from, peerRevision);
+    readiness.recordPeerRevision(peerRevision, now);
+    if (isNewRevision(peerRevision)
+        && (fetch == null || fetch.revision() < peerRevision || fetch.timedOut(now))) {
+      fetchFrom(from, peerRevision, now, out);
     }
   }
 
-  private boolean wanted(long theirs) {
-    return theirs > revision && theirs > applying && theirs > rejected;
+  private boolean isNewRevision(long peerRevision) {
+    return peerRevision > revision
+        && peerRevision > applyingRevision
+        && peerRevision > rejectedRevision;
   }
 
-  private void fetchFrom(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
-    fetch = new Fetch(theirs, from, now);
-    out.accept(new RolloutCommand.Send(from, new ConfigFetch(theirs)));
+  private void fetchFrom(HostId from, long peerRevision, long now, Consumer<RolloutCommand> out) {
+    fetch = new Fetch(peerRevision, from, now);
+    out.accept(new RolloutCommand.Send(from, new ConfigFetch(peerRevision)));
   }
 
-  /** Asks another peer when an answer is late. */
+  /** Requests the revision from another peer if a response is overdue. */
   private void retryFetch(long now, Consumer<RolloutCommand> out) {
     Fetch f = fetch;
     if (f == null) {
       return;
     }
-    if (!wanted(f.revision())) {
+    if (!isNewRevision(f.revision())) {
       fetch = null;
-    } else if (f.late(now)) {
+    } else if (f.timedOut(now)) {
       HostId next = nextHolder(f);
       if (next == null) {
         fetch = null;
@@ -189,10 +195,13 @@
     }
   }
 
-  /** Returns a holder of the revision, the next one after the host that did not answer. */
+  /**
+   * Returns the next holder of the revision after the host that did not respond; null if there is
+   * none.
+   */
   private @Nullable HostId nextHolder(Fetch f) {
     List<HostId> holders =
-        revisions.entrySet().stream()
+        peerRevisions.entrySet().stream()
             .filter(e -> e.getValue() >= f.revision())
             .map(Map.Entry::getKey)
             .toList();
@@ -203,45 +212,48 @@
   }
 
   private void apply(long to, String newText, @Nullable HostId from, Consumer<RolloutCommand> out) {
-    if (wanted(to)) {
-      applying = to;
+    if (isNewRevision(to)) {
+      applyingRevision = to;
       applyingText = newText;
-      source = from;
+      applyingSource = from;
       out.accept(new RolloutCommand.Apply(to, newText));
     }
   }
 
   private void applied(long to, Consumer<RolloutCommand> out) {
-    if (to != applying || to <= revision) {
+    if (to != applyingRevision || to <= revision) {
       return;
     }
     revision = to;
     text = applyingText;
     digest = Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
-    applying = 0;
+    applyingRevision = 0;
     applyingText = "";
-    HostId from = source;
+    HostId from = applyingSource;
     if (from != null) {
       out.accept(new RolloutCommand.Send(from, new ConfigApplied(to)));
     }
-    for (HostId h : targets()) {
-      if (!h.equals(from) && revisions.getOrDefault(h, 0L) < to) {
+    for (HostId h : offerTargets()) {
+      if (!h.equals(from) && peerRevisions.getOrDefault(h, 0L) < to) {
         out.accept(new RolloutCommand.Send(h, new ConfigOffer(to, digest)));
       }
     }
   }
 
-  /** Returns the neighbours and, for a publisher, one more node in each region without one. */
-  private Collection<HostId> targets() {
+  /**
+   * Returns the hosts that are offered a new revision: the neighbours and, from the publisher, one
+   * more node in each region that has no neighbour.
+   */
+  private Collection<HostId> offerTargets() {
     Set<HostId> targets = new LinkedHashSet<>(neighbours);
-    if (awaitingAcceptance >= revision) {
+    if (awaitedRevision >= revision) {
       Map<RegionId, List<HostId>> byRegion = new TreeMap<>();
       for (Member m : members.members()) {
         byRegion.computeIfAbsent(m.region(), r -> new ArrayList<>()).add(m.host());
       }
       for (List<HostId> hosts : byRegion.values()) {
         if (hosts.stream().noneMatch(targets::contains)) {
-          targets.addAll(Rendezvous.rank(WATCH_KEY, hosts, 1));
+          targets.addAll(RendezvousHash.rank(WATCH_KEY, hosts, 1));
         }
       }
     }
@@ -254,7 +266,7 @@
     neighbours = e.neighbours();
     Set<HostId> live = new LinkedHashSet<>();
     members.members().forEach(m -> live.add(m.host()));
-    revisions.keySet().retainAll(live);
+    peerRevisions.keySet().retainAll(live);
     boolean watch = watchers().contains(self);
     if (watch != watching) {
       watching = watch;
@@ -275,23 +287,23 @@
             .filter(m -> m.region().equals(region))
             .map(Member::host)
             .toList();
-    return Rendezvous.rank(WATCH_KEY, hosts, WATCHERS);
+    return RendezvousHash.rank(WATCH_KEY, hosts, WATCHERS);
   }
 
   private void checkAccepted(Consumer<RolloutCommand> out) {
-    long awaited = awaitingAcceptance;
+    long awaited = awaitedRevision;
     if (awaited == 0 || revision < awaited) {
       return;
     }
-    revisions.put(self, revision);
-    if (Acceptance.accepted(awaited, members, revisions)) {
-      awaitingAcceptance = 0;
+    peerRevisions.put(self, revision);
+    if (AcceptanceRule.isAccepted(awaited, members, peerRevisions)) {
+      awaitedRevision = 0;
       out.accept(new RolloutCommand.Accepted(awaited));
     }
   }
 
   private void checkReady(long now, Consumer<RolloutCommand> out) {
-    if (!ready && readiness.ready(revision, now)) {
+    if (!ready && readiness.isReady(revision, now)) {
       ready = true;
       out.accept(new RolloutCommand.Ready(revision));
     }
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerSimulation.java
@@ -170,7 +170,7 @@
       forwardedStarts.add(m.nonce());
     }
     if (copies == 0 && message instanceof LedgerMessage.LedgerStarted m) {
-      lostStartResponses.add(m.askedNonce());
+      lostStartResponses.add(m.requestedNonce());
     }
     for (int i = 0; i < copies; i++) {
       Duration delay =
--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.balancing.Balancer;
 import org.mustardlatch.core.balancing.Candidate;
-import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.balancing.RetryBudget;
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.time.TimerService;
@@ -47,7 +47,7 @@
   private final GatewaySettings settings;
   private final RandomGenerator random;
   private final Balancer balancer = new Balancer();
-  private final Map<String, RepeatBudget> retryBudgets = new HashMap<>();
+  private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
   private final Map<CallerExchange, ActiveRequest> activeRequests = new HashMap<>();
   private final PlatformProtocol protocol;
   private final GatewayMetrics metrics;
@@ -80,7 +80,7 @@
   void start(RoutedExchange exchange) {
     ActiveRequest request = new ActiveRequest(exchange);
     activeRequests.put(exchange.caller(), request);
-    retryBudget(exchange.service().name()).earn(settings.retryBudgetRatio() / 2);
+    retryBudget(exchange.service().name()).deposit(settings.retryBudgetRatio() / 2);
     request.sendFirstAttempt();
   }
 
@@ -98,7 +98,7 @@
     return request != null;
   }
 
-  private RepeatBudget retryBudget(String service) {
+  private RetryBudget retryBudget(String service) {
     return retryBudgets.computeIfAbsent(
         service, s -> RetryLimits.budgetPerNode(settings, liveNodeCount.getAsInt()));
   }
@@ -138,7 +138,7 @@
     private boolean acquireRetry() {
       return exchange.route().repeatable()
           && attemptCount < exchange.route().maxAttempts()
-          && retryBudget(exchange.service().name()).take();
+          && retryBudget(exchange.service().name()).tryAcquire();
     }
 
     /**
@@ -159,7 +159,7 @@
       attemptCount++;
       long remainingMillis = Math.max(1, (exchange.deadlineNanos() - now) / 1_000_000);
       var plan = new UpstreamCallPlan(target, remainingMillis, UpstreamCallPlan.WHOLE, null, null);
-      double predicted = balancer.predictedNanos(c, now);
+      double predicted = balancer.predictedResponseNanos(c, now);
       EventLog.log(
           LogEvent.REQUEST_SENT,
           exchange.callerRequestId(),
@@ -169,7 +169,7 @@
           (long) (predicted / 1_000_000));
       Attempt attempt = new Attempt(c.id(), now);
       activeAttempts.add(attempt);
-      balancer.sent(c.id());
+      balancer.requestSent(c.id());
       attempt.call = fleet.poolFor(target).send(exchange.toUpstreamRequest(plan), attempt);
       scheduleSlowResponseCheck(predicted);
     }
@@ -218,7 +218,7 @@
     void close() {
       activeRequests.remove(exchange.caller());
       for (Attempt attempt : activeAttempts) {
-        balancer.abandoned(attempt.upstream);
+        balancer.requestCancelled(attempt.upstream);
         if (attempt.call != null) {
           attempt.call.cancel();
         }
@@ -243,11 +243,11 @@
       activeAttempts.remove(attempt);
       if (metadata.notExecuted()) {
         exchange.recordNotExecuted();
-        balancer.refused(attempt.upstream, metadata.load(), now);
+        balancer.requestRefused(attempt.upstream, metadata.load(), now);
         onRefusal();
         return;
       }
-      balancer.answered(attempt.upstream, now - attempt.sentNanos, metadata.load(), now);
+      balancer.responseReceived(attempt.upstream, now - attempt.sentNanos, metadata.load(), now);
       if (response.status() >= MIN_SERVER_ERROR_STATUS && serverError == null) {
         if (!activeAttempts.isEmpty()) {
           serverError = response;
@@ -272,7 +272,7 @@
       if (!activeAttempts.isEmpty()) {
         return;
       }
-      if (refusalCount < MAX_REFUSALS && retryBudget(exchange.service().name()).take()) {
+      if (refusalCount < MAX_REFUSALS && retryBudget(exchange.service().name()).tryAcquire()) {
         sendToNextUpstream("refused_by_upstream");
       } else {
         failIfNoActiveAttempt(ErrorCode.OVERLOADED, "every attempted upstream refused the request");
@@ -281,7 +281,7 @@
 
     private void onCallFailed(Attempt attempt, CallFailure failure, String reason) {
       activeAttempts.remove(attempt);
-      balancer.failed(attempt.upstream, timers.nanos());
+      balancer.requestFailed(attempt.upstream, timers.nanos());
       metrics.countFailedCall("whole", failure.name());
       EventLog.log(
           LogEvent.CALL_FAILED,
@@ -338,7 +338,7 @@
 
   /** Drops the balancer's state of upstreams that were removed. */
   void onFleetChange() {
-    balancer.keep(
+    balancer.retainOnly(
         fleet.instances().stream().map(i -> new UpstreamId(i.id())).collect(Collectors.toSet()));
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/RetryLimits.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RetryLimits.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
-import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.balancing.RetryBudget;
 
 /** Limits on repeated requests: this node's retry budget and the Retry-After time of callers. */
 final class RetryLimits {
@@ -21,10 +21,10 @@
    *
    * @param nodes number of live nodes as last observed by this node
    */
-  static RepeatBudget budgetPerNode(GatewaySettings settings, int nodes) {
+  static RetryBudget budgetPerNode(GatewaySettings settings, int nodes) {
     double units = settings.retryBudgetExtra() / Math.max(MIN_NODES, nodes);
     // With a capacity below one unit no request could ever be retried.
-    return new RepeatBudget(units / 2, Math.max(1, units));
+    return new RetryBudget(units / 2, Math.max(1, units));
   }
 
   /**
--- a/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
@@ -27,12 +27,12 @@
               .addAllRumors(rumors(m.rumors()));
       case MembershipMessage.Join m -> out.getJoinBuilder().setSelf(rumor(m.self()));
       case MembershipMessage.View m ->
-          out.getViewBuilder().addAllRumors(rumors(m.rumors())).setReplyWanted(m.replyWanted());
+          out.getViewBuilder().addAllRumors(rumors(m.rumors())).setReplyWanted(m.replyRequested());
       case MembershipMessage.Suspicion m ->
           out.getSuspicionBuilder()
               .setHost(m.host().value())
               .setIncarnation(m.incarnation())
-              .setCounter(m.counter());
+              .setCounter(m.refutationCounter());
       case MembershipMessage.Sync m -> out.getSyncBuilder().setDigest(m.digest());
     }
   }
@@ -74,7 +74,7 @@
         .setZone(r.zone().value())
         .setAddress(r.address())
         .setIncarnation(r.incarnation())
-        .setCounter(r.counter())
+        .setCounter(r.refutationCounter())
         .setState(state(r.state()))
         .build();
   }
