--- a/core/src/main/java/org/mustardlatch/core/routing/AdmittingSide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmittingSide.java
@@ -23,7 +23,7 @@
   private static final long FOREIGN_IDLE_NANOS = 30_000_000_000L;
   private static final long RETRY_UNKNOWN_CELL_NANOS = 500_000_000;
 
-  private final Effects fx;
+  private final CommandCollector fx;
   private final CellAdmission.Environment environment;
   private final CellAdmission.CrashListener crashes;
   private final Map<String, CellAdmission> cells = new HashMap<>();
--- a/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
@@ -24,54 +24,54 @@
   final Cell cell;
 
   /** Handle of the earlier attempt that this one takes over; null when it starts with a prefill. */
-  final @Nullable KvHandle inherited;
+  final @Nullable KvHandle inheritedKv;
 
   /** Nodes that were asked and may hold a reservation. */
-  final List<HostId> asked = new ArrayList<>();
+  final List<HostId> contactedNodes = new ArrayList<>();
 
   State state = State.ASKING;
-  long sinceNanos;
-  long lastAskNanos;
+  long stateSinceNanos;
+  long lastReservationRequestNanos;
 
   /** The node that granted the reservation; null before. */
-  @Nullable HostId admitter;
+  @Nullable HostId admittingNode;
 
-  @Nullable UpstreamId prefill;
-  @Nullable UpstreamId decode;
-  @Nullable KvHandle handle;
+  @Nullable UpstreamId prefillEngine;
+  @Nullable UpstreamId decodeEngine;
+  @Nullable KvHandle kvHandle;
   long grantedNanos;
   long validUntilNanos;
-  long renewedNanos;
-  boolean extended;
+  long lastRenewalNanos;
+  boolean renewedInStage;
 
   /** Tokens of the request when the progress of the decode was last looked at. */
-  int tokensAtCheck;
+  int tokensAtLastCheck;
 
-  long checkedNanos;
+  long lastCheckNanos;
 
   /** Whether the decode was slow when the admitting node last heard of it. */
-  boolean slow;
+  boolean reportedSlow;
 
-  long progressNanos;
+  long lastProgressNanos;
 
   Attempt(AttemptId id, Cell cell, @Nullable KvHandle inherited) {
     this.id = id;
     this.cell = cell;
-    this.inherited = inherited;
+    this.inheritedKv = inherited;
   }
 
-  void enter(State next, long now) {
+  void enterState(State next, long now) {
     state = next;
-    sinceNanos = now;
-    progressNanos = now;
+    stateSinceNanos = now;
+    lastProgressNanos = now;
   }
 
   /** Returns the predicted time from the grant to the first token, nanoseconds. */
-  long predictedNanos() {
+  long predictedFirstTokenNanos() {
     return Math.max(0, validUntilNanos - grantedNanos - CellAdmission.GRANT_MARGIN_NANOS);
   }
 
-  boolean granted() {
+  boolean isGranted() {
     return state.compareTo(State.RESERVING) >= 0;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
@@ -17,15 +17,15 @@
 /** Carries one attempt through its reservation and its upstream calls. */
 final class AttemptDriver {
   /** Prefix blocks sent with an ask; 16,384 tokens of shared prefix tell engines apart enough. */
-  private static final int MAX_PREFIX_BLOCKS = 64;
+  private static final int MAX_SENT_PREFIX_BLOCKS = 64;
 
-  private final Effects fx;
-  private final CrossingDelay crossingDelay;
+  private final CommandCollector commands;
+  private final CrossRegionDelay crossRegionDelay;
   private Topology topology;
 
-  AttemptDriver(Effects fx, RegionId region, Topology topology) {
-    this.fx = fx;
-    this.crossingDelay = new CrossingDelay(region);
+  AttemptDriver(CommandCollector commands, RegionId region, Topology topology) {
+    this.commands = commands;
+    this.crossRegionDelay = new CrossRegionDelay(region);
     this.topology = topology;
   }
 
@@ -34,11 +34,11 @@
   }
 
   /** Asks the next admitting node of the cell; returns false when every one was asked. */
-  boolean askNext(EntryRequest q, Attempt a) {
+  boolean contactNextNode(EntryRequest q, Attempt a) {
     for (HostId host : topology.owners(a.cell)) {
-      if (!a.asked.contains(host)) {
-        a.asked.add(host);
-        ask(q, a, host);
+      if (!a.contactedNodes.contains(host)) {
+        a.contactedNodes.add(host);
+        sendReservationRequest(q, a, host);
         return true;
       }
     }
@@ -46,18 +46,18 @@
   }
 
   /** Asks the node that was asked last once more, in case a message was lost. */
-  void askAgain(EntryRequest q, Attempt a) {
-    ask(q, a, a.asked.getLast());
+  void repeatReservationRequest(EntryRequest q, Attempt a) {
+    sendReservationRequest(q, a, a.contactedNodes.getLast());
   }
 
-  private void ask(EntryRequest q, Attempt a, HostId host) {
-    long now = fx.now();
-    a.lastAskNanos = now;
+  private void sendReservationRequest(EntryRequest q, Attempt a, HostId host) {
+    long now = commands.now();
+    a.lastReservationRequestNanos = now;
     GenerationRequest r = q.request;
-    List<UpstreamId> excluded = List.copyOf(q.excluded);
-    KvHandle kv = a.inherited;
+    List<UpstreamId> excluded = List.copyOf(q.excludedUpstreams);
+    KvHandle kv = a.inheritedKv;
     if (kv != null) {
-      fx.send(
+      commands.send(
           host,
           new ReserveDecode(
               a.id,
@@ -73,7 +73,7 @@
       return;
     }
     List<Long> prefix = r.prefixBlocks();
-    fx.send(
+    commands.send(
         host,
         new Reserve(
             a.id,
@@ -82,50 +82,50 @@
             r.model(),
             q.promptTokens(),
             q.plannedTokens(),
-            prefix.size() > MAX_PREFIX_BLOCKS ? prefix.subList(0, MAX_PREFIX_BLOCKS) : prefix,
+            prefix.size() > MAX_SENT_PREFIX_BLOCKS ? prefix.subList(0, MAX_SENT_PREFIX_BLOCKS) : prefix,
             r.fingerprint(),
-            firstTokenBudget(q, a),
+            firstTokenBudgetNanos(q, a),
             r.finalDeadlineNanos() - now,
             excluded));
   }
 
   /** Returns the time left for the next token; a continued stream has a whole target again. */
-  private long firstTokenBudget(EntryRequest q, Attempt a) {
-    long now = fx.now();
+  private long firstTokenBudgetNanos(EntryRequest q, Attempt a) {
+    long now = commands.now();
     if (q.tokensSent > 0) {
       long target = a.cell.model().firstTokenTarget().toNanos();
       return Math.min(q.request.finalDeadlineNanos() - now, target);
     }
-    return q.request.firstTokenDeadlineNanos() - now - crossingDelay.nanos(a.cell);
+    return q.request.firstTokenDeadlineNanos() - now - crossRegionDelay.delayNanos(a.cell);
   }
 
   /** Takes note that an admitting node answered the last ask. */
-  void answered(Attempt a) {
+  void recordResponse(Attempt a) {
     if (a.state == Attempt.State.ASKING) {
-      crossingDelay.answered(a.cell, fx.now() - a.lastAskNanos);
+      crossRegionDelay.recordResponse(a.cell, commands.now() - a.lastReservationRequestNanos);
     }
   }
 
   /** Starts the upstream work of a granted attempt. */
-  void start(EntryRequest q, Attempt a, HostId from, ReserveGranted grant) {
-    long now = fx.now();
-    a.admitter = from;
-    a.prefill = grant.prefill();
-    a.decode = grant.decode();
+  void startGranted(EntryRequest q, Attempt a, HostId from, ReserveGranted grant) {
+    long now = commands.now();
+    a.admittingNode = from;
+    a.prefillEngine = grant.prefill();
+    a.decodeEngine = grant.decode();
     a.grantedNanos = now;
     a.validUntilNanos = now + grant.validNanos();
-    a.renewedNanos = now;
-    for (HostId host : a.asked) {
+    a.lastRenewalNanos = now;
+    for (HostId host : a.contactedNodes) {
       if (!host.equals(from)) {
-        fx.send(host, new ReserveWithdraw(a.id, a.cell.name()));
+        commands.send(host, new ReserveWithdraw(a.id, a.cell.name()));
       }
     }
-    KvHandle kv = a.inherited;
+    KvHandle kv = a.inheritedKv;
     if (kv == null) {
       if (a.cell.model().reservable()) {
-        a.enter(Attempt.State.RESERVING, now);
+        a.enterState(Attempt.State.RESERVING, now);
         int tokens = q.promptTokens() + q.plannedTokens() / 2;
-        fx.emit(new RoutingCommand.ReserveEngine(a.id, grant.decode(), tokens));
+        commands.emit(new RoutingCommand.ReserveEngine(a.id, grant.decode(), tokens));
       } else {
         startPrefill(a);
       }
@@ -136,31 +136,31 @@
 
   /** Starts the prefill of an attempt whose decode engine has room for it. */
   void startPrefill(Attempt a) {
-    UpstreamId prefill = a.prefill;
+    UpstreamId prefill = a.prefillEngine;
     if (prefill == null) {
       throw new IllegalStateException("attempt " + a.id + " has no prefill engine");
     }
-    a.enter(Attempt.State.PREFILL, fx.now());
-    fx.emit(new RoutingCommand.StartPrefill(a.id, prefill));
+    a.enterState(Attempt.State.PREFILL, commands.now());
+    commands.emit(new RoutingCommand.StartPrefill(a.id, prefill));
   }
 
   /** Starts the decode of an attempt whose KV cache is ready. */
   void startDecode(EntryRequest q, Attempt a, KvHandle handle) {
-    UpstreamId decode = a.decode;
+    UpstreamId decode = a.decodeEngine;
     if (decode == null) {
       throw new IllegalStateException("attempt " + a.id + " has no decode engine");
     }
-    a.handle = handle;
-    a.enter(Attempt.State.TRANSFER, fx.now());
-    fx.emit(new RoutingCommand.StartDecode(a.id, decode, handle, q.tokensSent));
+    a.kvHandle = handle;
+    a.enterState(Attempt.State.TRANSFER, commands.now());
+    commands.emit(new RoutingCommand.StartDecode(a.id, decode, handle, q.tokensSent));
   }
 
   /** Tells the admitting node that the attempt goes on. */
-  void renew(EntryRequest q, Attempt a, Stage stage) {
-    UpstreamId upstream = stage == Stage.PREFILL ? a.prefill : a.decode;
-    if (a.admitter != null && upstream != null) {
-      a.renewedNanos = fx.now();
-      fx.send(a.admitter, new ReservationRenew(a.id, a.cell.name(), upstream, stage, q.tokensSent));
+  void renewReservation(EntryRequest q, Attempt a, Stage stage) {
+    UpstreamId upstream = stage == Stage.PREFILL ? a.prefillEngine : a.decodeEngine;
+    if (a.admittingNode != null && upstream != null) {
+      a.lastRenewalNanos = commands.now();
+      commands.send(a.admittingNode, new ReservationRenew(a.id, a.cell.name(), upstream, stage, q.tokensSent));
     }
   }
 
@@ -172,70 +172,70 @@
   void cancel(Attempt a, Outcome outcome, boolean keepHandle) {
     switch (a.state) {
       case ASKING, QUEUED -> {
-        if (a.inherited != null && !keepHandle) {
-          fx.emit(new RoutingCommand.ReleaseKv(a.inherited));
+        if (a.inheritedKv != null && !keepHandle) {
+          commands.emit(new RoutingCommand.ReleaseKv(a.inheritedKv));
         }
       }
-      case RESERVING -> cancelOn(a, a.decode);
-      case PREFILL -> cancelOn(a, a.prefill);
+      case RESERVING -> cancelOnUpstream(a, a.decodeEngine);
+      case PREFILL -> cancelOnUpstream(a, a.prefillEngine);
       case TRANSFER -> {
-        cancelOn(a, a.decode);
-        if (a.handle != null && !keepHandle) {
-          fx.emit(new RoutingCommand.ReleaseKv(a.handle));
+        cancelOnUpstream(a, a.decodeEngine);
+        if (a.kvHandle != null && !keepHandle) {
+          commands.emit(new RoutingCommand.ReleaseKv(a.kvHandle));
         }
       }
-      case DECODE -> cancelOn(a, a.decode);
+      case DECODE -> cancelOnUpstream(a, a.decodeEngine);
     }
-    release(a, outcome);
+    releaseReservation(a, outcome);
   }
 
-  private void cancelOn(Attempt a, @Nullable UpstreamId upstream) {
+  private void cancelOnUpstream(Attempt a, @Nullable UpstreamId upstream) {
     if (upstream != null) {
-      fx.emit(new RoutingCommand.CancelAttempt(a.id, upstream));
+      commands.emit(new RoutingCommand.CancelAttempt(a.id, upstream));
     }
   }
 
   /** Frees the reservation of an attempt that has nothing running any more. */
-  void release(Attempt a, Outcome outcome) {
-    UpstreamId upstream = a.state == Attempt.State.PREFILL ? a.prefill : a.decode;
-    if (a.admitter != null && upstream != null) {
-      fx.send(a.admitter, new ReservationRelease(a.id, a.cell.name(), upstream, outcome));
+  void releaseReservation(Attempt a, Outcome outcome) {
+    UpstreamId upstream = a.state == Attempt.State.PREFILL ? a.prefillEngine : a.decodeEngine;
+    if (a.admittingNode != null && upstream != null) {
+      commands.send(a.admittingNode, new ReservationRelease(a.id, a.cell.name(), upstream, outcome));
     } else {
-      withdraw(a);
+      withdrawReservationRequests(a);
     }
   }
 
-  private void withdraw(Attempt a) {
-    for (HostId host : a.asked) {
-      fx.send(host, new ReserveWithdraw(a.id, a.cell.name()));
+  private void withdrawReservationRequests(Attempt a) {
+    for (HostId host : a.contactedNodes) {
+      commands.send(host, new ReserveWithdraw(a.id, a.cell.name()));
     }
   }
 
   /** Frees a grant that came too late or twice. */
-  void decline(HostId from, ReserveGranted grant) {
-    fx.send(
+  void declineGrant(HostId from, ReserveGranted grant) {
+    commands.send(
         from,
         new ReservationRelease(
             grant.attempt(), grant.summary().cell(), grant.decode(), Outcome.CANCELLED));
   }
 
   /** Moves an attempt to the node that admits to its cell now. */
-  void ownerChanged(EntryRequest q, Attempt a) {
+  void updateAdmittingNode(EntryRequest q, Attempt a) {
     List<HostId> owners = topology.owners(a.cell);
     if (owners.isEmpty()) {
       return;
     }
     HostId owner = owners.getFirst();
-    if (!a.granted()) {
-      a.asked.removeIf(h -> topology.member(h) == null);
-      if (!a.asked.contains(owner)) {
-        a.asked.add(owner);
-        a.enter(Attempt.State.ASKING, fx.now());
-        ask(q, a, owner);
+    if (!a.isGranted()) {
+      a.contactedNodes.removeIf(h -> topology.member(h) == null);
+      if (!a.contactedNodes.contains(owner)) {
+        a.contactedNodes.add(owner);
+        a.enterState(Attempt.State.ASKING, commands.now());
+        sendReservationRequest(q, a, owner);
       }
-    } else if (!owner.equals(a.admitter)) {
-      a.admitter = owner;
-      renew(q, a, stage(a));
+    } else if (!owner.equals(a.admittingNode)) {
+      a.admittingNode = owner;
+      renewReservation(q, a, stage(a));
     }
   }
 
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -14,52 +14,52 @@
 /** Finds a cell for a request, after the permission that a suspect needs. */
 final class AttemptStarter {
   private static final long PERMISSION_TIMEOUT_NANOS = 100_000_000;
-  private static final long PERMISSION_WAIT_NANOS = 200_000_000;
-  private static final int MAX_PERMISSION_ASKS = 3;
+  private static final long PERMISSION_RETRY_NANOS = 200_000_000;
+  private static final int MAX_PERMISSION_REQUESTS = 3;
   private static final int MAX_LOCAL_CELLS = 2;
   // Time to read what arrived during a pause, above all leaving notices, before new work starts.
-  private static final long SETTLE_NANOS = 200_000_000;
+  private static final long PAUSE_RECOVERY_NANOS = 200_000_000;
 
   /** What the starter needs from the keeper of the requests. */
-  interface Ends {
+  interface RequestCallbacks {
     /** Gives the final answer. */
     void refuse(EntryRequest q, ErrorCode code, String detail, Duration retryAfter);
 
     /** Sets the timer of a request with an attempt. */
-    void arm(EntryRequest q);
+    void updateTimer(EntryRequest q);
   }
 
-  private final Effects fx;
+  private final CommandCollector commands;
   private final NodeSettings settings;
   private final CrashEvidence evidence;
-  private final EvidenceSide evidenceSide;
-  private final CellChooser chooser;
-  private final Crossing crossing;
+  private final EvidenceSide evidenceCoordinator;
+  private final CellChooser cellChooser;
+  private final CrossRegionPolicy crossRegionPolicy;
   private final AttemptDriver driver;
   private final RegionId region;
-  private final Ends ends;
+  private final RequestCallbacks callbacks;
   private Topology topology = new Topology(null, List.of());
 
   /** Time before which no attempt starts, after a pause. */
-  private long settledNanos = Long.MIN_VALUE;
+  private long earliestStartNanos = Long.MIN_VALUE;
 
   AttemptStarter(
       CellAdmission.Environment env,
       EvidenceSide evidenceSide,
       CellChooser chooser,
-      Crossing crossing,
+      CrossRegionPolicy crossing,
       AttemptDriver driver,
       RegionId region,
-      Ends ends) {
-    this.fx = env.effects();
+      RequestCallbacks ends) {
+    this.commands = env.effects();
     this.settings = env.settings();
     this.evidence = env.evidence();
-    this.evidenceSide = evidenceSide;
-    this.chooser = chooser;
-    this.crossing = crossing;
+    this.evidenceCoordinator = evidenceSide;
+    this.cellChooser = chooser;
+    this.crossRegionPolicy = crossing;
     this.driver = driver;
     this.region = region;
-    this.ends = ends;
+    this.callbacks = ends;
   }
 
   void topologyChanged(Topology next) {
@@ -67,141 +67,141 @@
   }
 
   /** Holds new attempts back until the messages that arrived in a pause have been read. */
-  void settle() {
-    settledNanos = fx.now() + SETTLE_NANOS;
+  void delayNewAttempts() {
+    earliestStartNanos = commands.now() + PAUSE_RECOVERY_NANOS;
   }
 
   /** Starts an attempt with a prefill, after the permission that a suspect needs. */
-  void begin(EntryRequest q) {
-    long now = fx.now();
-    if (now < settledNanos) {
-      fx.explain(q.request.id(), "held_back", "this node reads what it missed in a pause");
-      fx.timer(EntrySide.TIMER, q.request.id().value(), settledNanos);
+  void startAttempt(EntryRequest q) {
+    long now = commands.now();
+    if (now < earliestStartNanos) {
+      commands.explain(q.request.id(), "held_back", "this node reads what it missed in a pause");
+      commands.setTimer(RequestCoordinator.TIMER_KIND, q.request.id().value(), earliestStartNanos);
       return;
     }
     if (now >= q.request.finalDeadlineNanos()) {
-      ends.refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
+      callbacks.refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
       return;
     }
     Standing standing = evidence.standing(q.request.fingerprint(), now);
     if (standing == Standing.QUARANTINED) {
-      quarantined(q);
-    } else if (standing == Standing.SUSPECT && !q.permitted) {
-      askPermission(q);
+      refuseQuarantined(q);
+    } else if (standing == Standing.SUSPECT && !q.suspectRunPermitted) {
+      requestPermission(q);
     } else {
-      attempt(q);
+      startLocally(q);
     }
   }
 
-  private void attempt(EntryRequest q) {
-    Cell cell = chooser.local(topology, q.request.model(), q.refusedCells);
+  private void startLocally(EntryRequest q) {
+    Cell cell = cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells);
     if (cell == null || q.refusedCells.size() >= MAX_LOCAL_CELLS) {
-      cross(q, ErrorCode.UPSTREAM_UNAVAILABLE, EntrySide.LATER);
+      startRemotely(q, ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.DEFAULT_RETRY_AFTER);
       return;
     }
-    boolean crosses = !cell.hasPrefillEngine() && !q.askedRemote;
-    Cell remote = crosses ? crossing.open(q, topology, Cell::hasPrefillEngine) : null;
-    q.askedRemote |= remote != null;
-    launch(q, remote == null ? cell : remote, null);
+    boolean crosses = !cell.hasPrefillEngine() && !q.remoteCellContacted;
+    Cell remote = crosses ? crossRegionPolicy.chooseCell(q, topology, Cell::hasPrefillEngine) : null;
+    q.remoteCellContacted |= remote != null;
+    requestReservation(q, remote == null ? cell : remote, null);
   }
 
-  void launch(EntryRequest q, Cell cell, @Nullable KvHandle inherited) {
+  void requestReservation(EntryRequest q, Cell cell, @Nullable KvHandle inherited) {
     Attempt a = new Attempt(q.nextAttempt(), cell, inherited);
     q.current = a;
-    a.enter(Attempt.State.ASKING, fx.now());
-    if (driver.askNext(q, a)) {
-      ends.arm(q);
+    a.enterState(Attempt.State.ASKING, commands.now());
+    if (driver.contactNextNode(q, a)) {
+      callbacks.updateTimer(q);
     } else {
       q.current = null;
-      cellRefused(q, cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, EntrySide.LATER);
+      handleCellRefusal(q, cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.DEFAULT_RETRY_AFTER);
     }
   }
 
   /** Asks the other region when the local cells refused, or gives up. */
-  private void cross(EntryRequest q, ErrorCode code, Duration retryAfter) {
+  private void startRemotely(EntryRequest q, ErrorCode code, Duration retryAfter) {
     Cell cell =
-        q.attempts() < EntrySide.MAX_ATTEMPTS ? crossing.open(q, topology, c -> true) : null;
+        q.attemptCount() < RequestCoordinator.MAX_ATTEMPTS ? crossRegionPolicy.chooseCell(q, topology, c -> true) : null;
     if (cell != null) {
-      launch(q, cell, null);
+      requestReservation(q, cell, null);
     } else {
-      ends.refuse(q, code, "no cell can meet the first-token deadline", retryAfter);
+      callbacks.refuse(q, code, "no cell can meet the first-token deadline", retryAfter);
     }
   }
 
   /** Asks the other region as well while the local queue is long; the first grant is used. */
-  void askRemoteToo(EntryRequest q, Attempt a, long waitNanos) {
+  void requestRemoteHedge(EntryRequest q, Attempt a, long waitNanos) {
     long budget = q.request.firstTokenDeadlineNanos() - q.arrivedNanos;
     boolean isLong = waitNanos > settings.tuning().crossWaitShare() * budget;
     boolean local = a == q.current && a.cell.region().equals(region);
-    if (!isLong || !local || q.askedRemote || q.hedge != null || q.tokensSent > 0) {
+    if (!isLong || !local || q.remoteCellContacted || q.hedge != null || q.tokensSent > 0) {
       return;
     }
-    Cell cell = crossing.open(q, topology, Cell::hasPrefillEngine);
+    Cell cell = crossRegionPolicy.chooseCell(q, topology, Cell::hasPrefillEngine);
     if (cell != null) {
-      q.askedRemote = true;
+      q.remoteCellContacted = true;
       Attempt remote = new Attempt(q.nextAttempt(), cell, null);
-      remote.enter(Attempt.State.ASKING, fx.now());
-      if (driver.askNext(q, remote)) {
+      remote.enterState(Attempt.State.ASKING, commands.now());
+      if (driver.contactNextNode(q, remote)) {
         q.hedge = remote;
       }
     }
   }
 
-  void cellRefused(EntryRequest q, String cell, ErrorCode code, Duration retryAfter) {
+  void handleCellRefusal(EntryRequest q, String cell, ErrorCode code, Duration retryAfter) {
     q.refusedCells.add(cell);
     boolean more =
         q.refusedCells.size() < MAX_LOCAL_CELLS
-            && chooser.local(topology, q.request.model(), q.refusedCells) != null;
+            && cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells) != null;
     if (more) {
-      attempt(q);
+      startLocally(q);
     } else {
-      cross(q, code, retryAfter);
+      startRemotely(q, code, retryAfter);
     }
   }
 
-  void askPermission(EntryRequest q) {
-    q.waitsForPermission = true;
-    List<HostId> owners = evidenceSide.owners(q.request.fingerprint());
-    if (owners.isEmpty() || q.permissionAsks >= MAX_PERMISSION_ASKS) {
+  void requestPermission(EntryRequest q) {
+    q.awaitsPermission = true;
+    List<HostId> owners = evidenceCoordinator.owners(q.request.fingerprint());
+    if (owners.isEmpty() || q.permissionRequests >= MAX_PERMISSION_REQUESTS) {
       // No owner answers; the admitting node still keeps suspects apart.
-      permitted(q);
+      startPermitted(q);
       return;
     }
-    HostId owner = owners.get(q.permissionAsks % owners.size());
-    q.permissionAsks++;
-    fx.send(owner, new RunRequest(q.request.fingerprint(), q.request.id().value()));
-    fx.timer(EntrySide.TIMER, q.request.id().value(), fx.now() + PERMISSION_TIMEOUT_NANOS);
+    HostId owner = owners.get(q.permissionRequests % owners.size());
+    q.permissionRequests++;
+    commands.send(owner, new RunRequest(q.request.fingerprint(), q.request.id().value()));
+    commands.setTimer(RequestCoordinator.TIMER_KIND, q.request.id().value(), commands.now() + PERMISSION_TIMEOUT_NANOS);
   }
 
   /** Handles the answer of the owner of a suspect fingerprint. */
-  void permission(EntryRequest q, Verdict verdict) {
-    if (q.waitsForPermission) {
+  void handleVerdict(EntryRequest q, Verdict verdict) {
+    if (q.awaitsPermission) {
       switch (verdict) {
-        case RUN -> permitted(q);
-        case QUARANTINED -> quarantined(q);
+        case RUN -> startPermitted(q);
+        case QUARANTINED -> refuseQuarantined(q);
         case WAIT -> {
-          q.permissionAsks = 0;
-          if (fx.now() >= q.request.firstTokenDeadlineNanos()) {
-            ends.refuse(
-                q, ErrorCode.OVERLOADED, "the same request is being examined", EntrySide.LATER);
+          q.permissionRequests = 0;
+          if (commands.now() >= q.request.firstTokenDeadlineNanos()) {
+            callbacks.refuse(
+                q, ErrorCode.OVERLOADED, "the same request is being examined", RequestCoordinator.DEFAULT_RETRY_AFTER);
           } else {
-            fx.timer(EntrySide.TIMER, q.request.id().value(), fx.now() + PERMISSION_WAIT_NANOS);
+            commands.setTimer(RequestCoordinator.TIMER_KIND, q.request.id().value(), commands.now() + PERMISSION_RETRY_NANOS);
           }
         }
       }
     }
   }
 
-  private void permitted(EntryRequest q) {
-    q.waitsForPermission = false;
-    q.permitted = true;
-    q.suspectRun = true;
-    fx.explain(q.request.id(), "suspect_permitted", "one attempt after a crash");
-    attempt(q);
+  private void startPermitted(EntryRequest q) {
+    q.awaitsPermission = false;
+    q.suspectRunPermitted = true;
+    q.ranAsSuspect = true;
+    commands.explain(q.request.id(), "suspect_permitted", "one attempt after a crash");
+    startLocally(q);
   }
 
-  void quarantined(EntryRequest q) {
+  void refuseQuarantined(EntryRequest q) {
     String detail = "its content was on two engines that crashed";
-    ends.refuse(q, ErrorCode.REQUEST_QUARANTINED, detail, Duration.ZERO);
+    callbacks.refuse(q, ErrorCode.REQUEST_QUARANTINED, detail, Duration.ZERO);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -56,7 +56,7 @@
 
   /** What a cell needs from its node. */
   record Environment(
-      Effects effects, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
+      CommandCollector effects, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
 
   /** Receives crashes that a cell recognised. */
   interface CrashListener {
@@ -64,10 +64,10 @@
   }
 
   private Cell cell;
-  private final Effects fx;
+  private final CommandCollector fx;
   private final CrashEvidence evidence;
   private final NodeSettings settings;
-  private final RetrySpread spread;
+  private final RetryAfterJitter spread;
   private final CrashListener crashes;
   private final Map<UpstreamId, EngineState> engines = new LinkedHashMap<>();
   private final Map<AttemptId, Reservation> reservations = new HashMap<>();
@@ -87,7 +87,7 @@
     this.fx = env.effects();
     this.evidence = env.evidence();
     this.settings = env.settings();
-    this.spread = new RetrySpread(env.random());
+    this.spread = new RetryAfterJitter(env.random());
     this.crashes = crashes;
     this.leaving = leaving;
     this.placer = placer(cell);
@@ -332,7 +332,7 @@
     }
     if (queue.size() > 0) {
       long wait = Math.clamp(placer.nextPrefillNanos(fx.now()), 2_000_000, 20_000_000);
-      fx.timer("cell", cell.name(), fx.now() + wait);
+      fx.setTimer("cell", cell.name(), fx.now() + wait);
     }
   }
 
@@ -604,7 +604,7 @@
 
   private void refuseOverloaded(Ask ask) {
     long budget = Math.max(1, ask.budgetNanos());
-    Duration after = spread.draw(summary().predictedWaitNanos(), budget);
+    Duration after = spread.drawRetryAfter(summary().predictedWaitNanos(), budget);
     boolean none = usableDecodeSlots() == 0;
     refuse(ask, none ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/Effects.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CommandCollector.java
@@ -9,17 +9,17 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /** The time of the event in progress and the commands that it leads to. */
-final class Effects {
+final class CommandCollector {
   private final HostId self;
-  private final ArrayDeque<PeerMessage> toSelf = new ArrayDeque<>();
+  private final ArrayDeque<PeerMessage> localMessages = new ArrayDeque<>();
   private @Nullable Consumer<RoutingCommand> out;
   private long nowNanos;
 
-  Effects(HostId self) {
+  CommandCollector(HostId self) {
     this.self = self;
   }
 
-  void begin(long nowNanos, Consumer<RoutingCommand> out) {
+  void beginEvent(long nowNanos, Consumer<RoutingCommand> out) {
     this.nowNanos = nowNanos;
     this.out = out;
   }
@@ -41,21 +41,21 @@
     emit(new RoutingCommand.Explain(request, rule, detail));
   }
 
-  void timer(String kind, String subject, long atNanos) {
+  void setTimer(String kind, String subject, long atNanos) {
     emit(new RoutingCommand.SetTimer(new TimerKey(kind, subject), atNanos));
   }
 
   /** Sends a message; one to this node itself is handled after the event in progress. */
   void send(HostId to, PeerMessage message) {
     if (to.equals(self)) {
-      toSelf.add(message);
+      localMessages.add(message);
     } else {
-      emit(new RoutingCommand.SendPeer(to, message));
+      emit(new RoutingCommand.SendPeerMessage(to, message));
     }
   }
 
   /** Returns the next message to this node itself, or null. */
-  @Nullable PeerMessage nextToSelf() {
-    return toSelf.poll();
+  @Nullable PeerMessage pollLocalMessage() {
+    return localMessages.poll();
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
@@ -14,7 +14,7 @@
   final long arrivedNanos;
 
   /** Upstreams that failed this request. */
-  final Set<UpstreamId> excluded = new LinkedHashSet<>();
+  final Set<UpstreamId> excludedUpstreams = new LinkedHashSet<>();
 
   /** Cells that refused it since the last attempt that was granted. */
   final Set<String> refusedCells = new HashSet<>();
@@ -23,28 +23,28 @@
   @Nullable Attempt hedge;
 
   /** Whether it waits for the permission to run as a suspect. */
-  boolean waitsForPermission;
+  boolean awaitsPermission;
 
   /** Whether the permission to run as a suspect was given. */
-  boolean permitted;
+  boolean suspectRunPermitted;
 
-  int permissionAsks;
-  boolean suspectRun;
-  boolean hedged;
-  boolean askedRemote;
+  int permissionRequests;
+  boolean ranAsSuspect;
+  boolean secondPrefillRequested;
+  boolean remoteCellContacted;
 
   /** Bytes taken from the cross-region budget for an ask that is not granted yet. */
-  double crossingCost;
+  double acquiredCrossRegionBytes;
 
   int tokensSent;
 
   /** Engines that may have begun to generate the answer. */
-  int runs;
+  int generationRuns;
 
   /** Engines that had no room for a reservation. */
-  int reservationRefusals;
+  int engineRefusals;
 
-  private int attempts;
+  private int attemptCount;
 
   EntryRequest(GenerationRequest request, long arrivedNanos) {
     this.request = request;
@@ -52,16 +52,16 @@
   }
 
   AttemptId nextAttempt() {
-    attempts++;
-    return new AttemptId(request.id(), attempts);
+    attemptCount++;
+    return new AttemptId(request.id(), attemptCount);
   }
 
-  int attempts() {
-    return attempts;
+  int attemptCount() {
+    return attemptCount;
   }
 
   /** Returns the live attempt with this name, or null for one that ended or lost. */
-  @Nullable Attempt find(AttemptId id) {
+  @Nullable Attempt findLiveAttempt(AttemptId id) {
     if (current != null && current.id.equals(id)) {
       return current;
     }
@@ -73,8 +73,8 @@
   }
 
   /** Returns whether one more engine may generate the answer. */
-  boolean mayRunAgain() {
-    return request.resumable() && runs < request.maxRuns();
+  boolean mayGenerateAgain() {
+    return request.resumable() && generationRuns < request.maxRuns();
   }
 
   /** Returns the tokens of the answer that memory is still planned for. */
@@ -87,7 +87,7 @@
   }
 
   /** Forgets an attempt; the other one, if there is one, becomes the current one. */
-  void drop(Attempt a) {
+  void removeAttempt(Attempt a) {
     if (a == current) {
       current = hedge;
     }
@@ -95,7 +95,7 @@
   }
 
   /** Returns the attempts in progress, the current one first. */
-  List<Attempt> live() {
+  List<Attempt> liveAttempts() {
     Attempt a = current;
     Attempt b = hedge;
     if (a == null) {
@@ -104,7 +104,7 @@
     return b == null ? List.of(a) : List.of(a, b);
   }
 
-  String stage() {
+  String stageName() {
     return current == null ? "no attempt" : current.state.toString();
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/EvidenceSide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EvidenceSide.java
@@ -25,7 +25,7 @@
 
   private record Recent(CrashReport report, long atNanos) {}
 
-  private final Effects fx;
+  private final CommandCollector fx;
   private final CrashEvidence evidence;
   private final SuspectRuns runs = new SuspectRuns();
   private final ArrayDeque<Recent> recent = new ArrayDeque<>();
@@ -33,7 +33,7 @@
   private long crashes;
   private long incarnation;
 
-  EvidenceSide(Effects fx, CrashEvidence evidence, Topology topology, long incarnation) {
+  EvidenceSide(CommandCollector fx, CrashEvidence evidence, Topology topology, long incarnation) {
     this.fx = fx;
     this.evidence = evidence;
     this.topology = topology;
--- a/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
@@ -15,7 +15,7 @@
   }
 
   /** Returns whether the upstream certainly did not begin the work that failed. */
-  static boolean notRun(Failure failure) {
+  static boolean neverStarted(Failure failure) {
     return switch (failure) {
       case REFUSED, KV_EXPIRED -> true;
       case CRASHED, STALLED, DISCONNECTED, TIMED_OUT -> false;
@@ -23,7 +23,7 @@
   }
 
   /** Returns the outcome that the admitting node is told. */
-  static Outcome outcome(Failure failure) {
+  static Outcome reservationOutcome(Failure failure) {
     return switch (failure) {
       case REFUSED -> Outcome.REFUSED;
       case CRASHED -> Outcome.CRASHED;
--- a/core/src/main/java/org/mustardlatch/core/routing/HeldSweep.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/HeldSweep.java
@@ -20,7 +20,7 @@
 
   private record Owner(HostId host, long incarnation) {}
 
-  private final Effects fx;
+  private final CommandCollector fx;
   private final Map<Owner, Long> unknownSinceNanos = new HashMap<>();
 
   /** Nodes that left the live set, with the last incarnation that was known of them. */
@@ -28,7 +28,7 @@
 
   private Topology topology;
 
-  HeldSweep(Effects fx, Topology topology) {
+  HeldSweep(CommandCollector fx, Topology topology) {
     this.fx = fx;
     this.topology = topology;
   }
@@ -47,19 +47,19 @@
   }
 
   /** Emits the cancels for one engine's list. */
-  void sweep(UpstreamId upstream, List<HeldAttempt> held, EntrySide own, long incarnation) {
+  void sweep(UpstreamId upstream, List<HeldAttempt> held, RequestCoordinator own, long incarnation) {
     int cancels = 0;
     for (HeldAttempt h : held) {
       if (cancels < MAX_CANCELS && abandoned(h, own, incarnation)) {
-        fx.emit(new RoutingCommand.CancelHeld(h, upstream));
+        fx.emit(new RoutingCommand.CancelOrphanedAttempt(h, upstream));
         cancels++;
       }
     }
   }
 
-  private boolean abandoned(HeldAttempt h, EntrySide own, long incarnation) {
+  private boolean abandoned(HeldAttempt h, RequestCoordinator own, long incarnation) {
     if (h.owner().equals(fx.self())) {
-      return h.incarnation() < incarnation || !own.holds(h.attempt());
+      return h.incarnation() < incarnation || !own.hasLiveAttempt(h.attempt());
     }
     Member m = topology.member(h.owner());
     if (m != null) {
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -24,25 +24,25 @@
  * same commands. Not safe for use by several threads.
  */
 public final class NodeRouter implements RoutingPolicy {
-  private static final String TICK = "tick";
-  private static final String CELL = "cell";
+  private static final String TICK_TIMER = "tick";
+  private static final String CELL_TIMER = "cell";
   // More than one, as an introducer may be joining or dying itself.
-  private static final int INTRODUCERS = 3;
-  private static final long TICK_NANOS = 100_000_000;
+  private static final int INTRODUCER_COUNT = 3;
+  private static final long TICK_INTERVAL_NANOS = 100_000_000;
 
-  private final Effects fx;
+  private final CommandCollector commands;
   private final NodeSettings settings = new NodeSettings();
   private final CrashEvidence evidence = new CrashEvidence();
-  private final PauseGuard pauses = new PauseGuard();
-  private final LeavingUpstreams leaving = new LeavingUpstreams();
-  private final EvidenceSide evidenceSide;
-  private final AdmittingSide admitting;
-  private final EntrySide entry;
-  private final HeldSweep sweep;
+  private final PauseGuard pauseDetector = new PauseGuard();
+  private final LeavingUpstreams leavingUpstreams = new LeavingUpstreams();
+  private final EvidenceSide evidenceCoordinator;
+  private final AdmittingSide admissionController;
+  private final RequestCoordinator requestCoordinator;
+  private final HeldSweep orphanSweeper;
   private Topology topology = new Topology(null, List.of());
   private List<Member> members = List.of();
   private long incarnation;
-  private boolean ticking;
+  private boolean tickTimerSet;
 
   /**
    * Creates the decisions of a node that knows no manifest and no other node yet.
@@ -57,12 +57,12 @@
       throw new IllegalArgumentException("incarnation must be at least 0, got " + incarnation);
     }
     this.incarnation = incarnation;
-    this.fx = new Effects(self);
-    var environment = new CellAdmission.Environment(fx, random, evidence, settings);
-    this.evidenceSide = new EvidenceSide(fx, evidence, topology, incarnation);
-    this.admitting = new AdmittingSide(environment, evidenceSide, leaving, topology);
-    this.entry = new EntrySide(environment, evidenceSide, leaving, region, topology);
-    this.sweep = new HeldSweep(fx, topology);
+    this.commands = new CommandCollector(self);
+    var environment = new CellAdmission.Environment(commands, random, evidence, settings);
+    this.evidenceCoordinator = new EvidenceSide(commands, evidence, topology, incarnation);
+    this.admissionController = new AdmittingSide(environment, evidenceCoordinator, leavingUpstreams, topology);
+    this.requestCoordinator = new RequestCoordinator(environment, evidenceCoordinator, leavingUpstreams, region, topology);
+    this.orphanSweeper = new HeldSweep(commands, topology);
   }
 
   /**
@@ -76,80 +76,80 @@
 
   /** Returns the engines whose load and held attempts this node must read as admitting node. */
   public List<UpstreamId> admittedEngines() {
-    return admitting.ownedEngines();
+    return admissionController.ownedEngines();
   }
 
   /** Returns the number of requests of this node's callers that have no final answer yet. */
   public int openRequests() {
-    return entry.size();
+    return requestCoordinator.requestCount();
   }
 
   /** Returns the number of reservations and queued requests in the cells of this node. */
   public int openReservations() {
-    return admitting.reservationCount() + admitting.queuedCount();
+    return admissionController.reservationCount() + admissionController.queuedCount();
   }
 
   @Override
   public void handle(RoutingEvent event, long nowNanos, Consumer<RoutingCommand> out) {
-    fx.begin(nowNanos, out);
-    if (!ticking) {
-      ticking = true;
-      fx.timer(TICK, fx.self().value(), nowNanos + TICK_NANOS);
+    commands.beginEvent(nowNanos, out);
+    if (!tickTimerSet) {
+      tickTimerSet = true;
+      commands.setTimer(TICK_TIMER, commands.self().value(), nowNanos + TICK_INTERVAL_NANOS);
     }
-    switch (pauses.since(nowNanos)) {
+    switch (pauseDetector.since(nowNanos)) {
       case RUNNING -> {}
-      case SHORT_PAUSE -> entry.askAfresh();
-      case LONG_PAUSE -> fence();
+      case SHORT_PAUSE -> requestCoordinator.restartAfterShortPause();
+      case LONG_PAUSE -> startNewIncarnation();
     }
     dispatch(event);
-    deliverToSelf();
+    handleLocalMessages();
   }
 
-  private void deliverToSelf() {
-    for (PeerMessage m = fx.nextToSelf(); m != null; m = fx.nextToSelf()) {
-      received(fx.self(), m);
+  private void handleLocalMessages() {
+    for (PeerMessage m = commands.pollLocalMessage(); m != null; m = commands.pollLocalMessage()) {
+      peerMessageReceived(commands.self(), m);
     }
   }
 
   private void dispatch(RoutingEvent event) {
     switch (event) {
-      case RoutingEvent.RequestArrived e -> entry.arrived(e.request());
-      case RoutingEvent.CallerGone e -> entry.callerGone(e.request());
-      case RoutingEvent.EngineReserved e -> entry.engineReserved(e.attempt());
-      case RoutingEvent.EngineNotReserved e -> entry.engineNotReserved(e.attempt(), e.failure());
-      case RoutingEvent.PrefillFinished e -> entry.prefillFinished(e.attempt(), e.handle());
-      case RoutingEvent.PrefillFailed e -> entry.prefillFailed(e.attempt(), e.failure());
-      case RoutingEvent.DecodeStarted e -> entry.decodeStarted(e.attempt());
-      case RoutingEvent.TokensArrived e -> entry.tokensArrived(e.attempt(), e.count());
-      case RoutingEvent.DecodeFinished e -> entry.decodeFinished(e.attempt());
-      case RoutingEvent.DecodeFailed e -> entry.decodeFailed(e.attempt(), e.failure());
+      case RoutingEvent.RequestArrived e -> requestCoordinator.requestArrived(e.request());
+      case RoutingEvent.CallerDisconnected e -> requestCoordinator.callerDisconnected(e.request());
+      case RoutingEvent.EngineReserved e -> requestCoordinator.engineReserved(e.attempt());
+      case RoutingEvent.EngineReservationFailed e -> requestCoordinator.engineReservationFailed(e.attempt(), e.failure());
+      case RoutingEvent.PrefillFinished e -> requestCoordinator.prefillFinished(e.attempt(), e.handle());
+      case RoutingEvent.PrefillFailed e -> requestCoordinator.prefillFailed(e.attempt(), e.failure());
+      case RoutingEvent.DecodeStarted e -> requestCoordinator.decodeStarted(e.attempt());
+      case RoutingEvent.TokensArrived e -> requestCoordinator.tokensArrived(e.attempt(), e.count());
+      case RoutingEvent.DecodeFinished e -> requestCoordinator.decodeFinished(e.attempt());
+      case RoutingEvent.DecodeFailed e -> requestCoordinator.decodeFailed(e.attempt(), e.failure());
       case RoutingEvent.LoadReported e -> loadReported(e);
       case RoutingEvent.HeldAttemptsListed e -> {
-        admitting.heldListed(e.upstream(), e.attempts());
-        sweep.sweep(e.upstream(), e.attempts(), entry, incarnation);
+        admissionController.heldListed(e.upstream(), e.attempts());
+        orphanSweeper.sweep(e.upstream(), e.attempts(), requestCoordinator, incarnation);
       }
-      case RoutingEvent.PeerReceived e -> received(e.from(), e.message());
+      case RoutingEvent.PeerMessageReceived e -> peerMessageReceived(e.from(), e.message());
       case RoutingEvent.ManifestApplied e -> {
         settings.apply(e.manifest());
         topologyChanged();
       }
       case RoutingEvent.MembersChanged e -> membersChanged(e.members());
       case RoutingEvent.UpstreamLeaving e -> upstreamLeaving(e.upstream());
-      case RoutingEvent.TimerFired e -> timer(e.key());
-      case RoutingEvent.DrainRequested e -> entry.drain();
+      case RoutingEvent.TimerFired e -> timerFired(e.key());
+      case RoutingEvent.DrainRequested e -> requestCoordinator.startDraining();
     }
   }
 
-  private void received(HostId from, PeerMessage message) {
+  private void peerMessageReceived(HostId from, PeerMessage message) {
     switch (message) {
-      case ReserveGranted m -> entry.granted(from, m);
-      case ReserveQueued m -> entry.queued(from, m);
-      case ReserveRefused m -> entry.refused(m);
-      case AdmissionMessage.CellSummary m -> entry.summary(m);
-      case AdmissionMessage m -> admitting.handle(from, m);
-      case RunPermission m -> entry.permission(m);
-      case LeavingNotice m -> leaving.heard(m.upstream(), fx.now());
-      case EvidenceMessage m -> evidenceSide.handle(from, m);
+      case ReserveGranted m -> requestCoordinator.reservationGranted(from, m);
+      case ReserveQueued m -> requestCoordinator.reservationQueued(from, m);
+      case ReserveRefused m -> requestCoordinator.reservationRefused(m);
+      case AdmissionMessage.CellSummary m -> requestCoordinator.recordSummary(m);
+      case AdmissionMessage m -> admissionController.handle(from, m);
+      case RunPermission m -> requestCoordinator.permissionReceived(m);
+      case LeavingNotice m -> leavingUpstreams.heard(m.upstream(), commands.now());
+      case EvidenceMessage m -> evidenceCoordinator.handle(from, m);
       default -> {
         // Other messages belong to other parts of the node.
       }
@@ -160,23 +160,23 @@
     if (e.report().leaving()) {
       upstreamLeaving(e.upstream());
     }
-    admitting.loadReported(e.upstream(), e.report());
+    admissionController.loadReported(e.upstream(), e.report());
   }
 
   private void upstreamLeaving(UpstreamId upstream) {
-    leaving.seen(upstream, fx.now());
-    spreadLeaving();
+    leavingUpstreams.seen(upstream, commands.now());
+    broadcastLeavingNotices();
   }
 
-  private void spreadLeaving() {
-    for (UpstreamId u : leaving.dueNotices(fx.now())) {
-      evidenceSide.broadcast(new LeavingNotice(u));
+  private void broadcastLeavingNotices() {
+    for (UpstreamId u : leavingUpstreams.dueNotices(commands.now())) {
+      evidenceCoordinator.broadcast(new LeavingNotice(u));
     }
   }
 
   private void membersChanged(List<Member> next) {
     for (Member m : next) {
-      if (m.host().equals(fx.self())) {
+      if (m.host().equals(commands.self())) {
         incarnation = Math.max(incarnation, m.incarnation());
       }
     }
@@ -184,52 +184,52 @@
     members = next;
     topologyChanged();
     for (Member m : next) {
-      if (before.member(m.host()) == null && introduces(m)) {
-        leaving.all(fx.now()).forEach(u -> fx.send(m.host(), new LeavingNotice(u)));
-        evidenceSide.introduce(m.host());
+      if (before.member(m.host()) == null && isIntroducerOf(m)) {
+        leavingUpstreams.all(commands.now()).forEach(u -> commands.send(m.host(), new LeavingNotice(u)));
+        evidenceCoordinator.introduce(m.host());
       }
     }
   }
 
   /** Returns whether this node is one of the few that tell a joining node what it missed. */
-  private boolean introduces(Member joining) {
+  private boolean isIntroducerOf(Member joining) {
     List<HostId> order = topology.ownersOf(joining.host().value());
-    return !joining.host().equals(fx.self())
-        && order.subList(0, Math.min(INTRODUCERS + 1, order.size())).contains(fx.self());
+    return !joining.host().equals(commands.self())
+        && order.subList(0, Math.min(INTRODUCER_COUNT + 1, order.size())).contains(commands.self());
   }
 
   private void topologyChanged() {
     topology = new Topology(settings.manifest(), members);
-    evidenceSide.topologyChanged(topology, incarnation);
-    sweep.topologyChanged(topology);
-    admitting.topologyChanged(topology);
-    entry.topologyChanged(topology);
+    evidenceCoordinator.topologyChanged(topology, incarnation);
+    orphanSweeper.topologyChanged(topology);
+    admissionController.topologyChanged(topology);
+    requestCoordinator.topologyChanged(topology);
   }
 
-  private void timer(TimerKey key) {
+  private void timerFired(TimerKey key) {
     switch (key.kind()) {
-      case TICK -> tick();
-      case CELL -> admitting.tick(key.subject());
-      case EntrySide.TIMER -> entry.timer(key.subject());
+      case TICK_TIMER -> tick();
+      case CELL_TIMER -> admissionController.tick(key.subject());
+      case RequestCoordinator.TIMER_KIND -> requestCoordinator.timerFired(key.subject());
       default -> throw new IllegalArgumentException("unknown timer " + key);
     }
   }
 
   private void tick() {
-    fx.timer(TICK, fx.self().value(), fx.now() + TICK_NANOS);
-    spreadLeaving();
-    leaving.expire(topology, fx.now());
-    admitting.tickAll();
-    evidenceSide.tick();
-    sweep.tick();
+    commands.setTimer(TICK_TIMER, commands.self().value(), commands.now() + TICK_INTERVAL_NANOS);
+    broadcastLeavingNotices();
+    leavingUpstreams.expire(topology, commands.now());
+    admissionController.tickAll();
+    evidenceCoordinator.tick();
+    orphanSweeper.tick();
   }
 
-  private void fence() {
+  private void startNewIncarnation() {
     incarnation++;
-    fx.emit(
-        new RoutingCommand.SetTimer(new TimerKey(TICK, fx.self().value()), fx.now() + TICK_NANOS));
-    admitting.forgetAll();
-    entry.fence();
-    evidenceSide.topologyChanged(topology, incarnation);
+    commands.emit(
+        new RoutingCommand.SetTimer(new TimerKey(TICK_TIMER, commands.self().value()), commands.now() + TICK_INTERVAL_NANOS));
+    admissionController.forgetAll();
+    requestCoordinator.restartAfterLongPause();
+    evidenceCoordinator.topologyChanged(topology, incarnation);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
@@ -17,7 +17,7 @@
   private final TimerService timers;
   private final RoutingPolicy policy;
   private final Consumer<RoutingCommand> commands;
-  private final Map<TimerKey, TimerSubscription> armed = new HashMap<>();
+  private final Map<TimerKey, TimerSubscription> activeTimers = new HashMap<>();
 
   /**
    * Creates a runner.
@@ -50,18 +50,18 @@
   private void setTimer(RoutingCommand.SetTimer command) {
     cancelTimer(command.key());
     Duration delay = Duration.ofNanos(command.atNanos() - timers.nanos());
-    armed.put(command.key(), timers.schedule(delay, () -> fire(command.key())));
+    activeTimers.put(command.key(), timers.schedule(delay, () -> timerFired(command.key())));
   }
 
   private void cancelTimer(TimerKey key) {
-    TimerSubscription timer = armed.remove(key);
+    TimerSubscription timer = activeTimers.remove(key);
     if (timer != null) {
       timer.cancel();
     }
   }
 
-  private void fire(TimerKey key) {
-    armed.remove(key);
+  private void timerFired(TimerKey key) {
+    activeTimers.remove(key);
     handle(new RoutingEvent.TimerFired(key));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
@@ -13,7 +13,7 @@
   private final Map<RequestId, EntryRequest> requests = new HashMap<>();
 
   /** A live attempt with its request. */
-  record Found(EntryRequest request, Attempt attempt) {}
+  record LiveAttempt(EntryRequest request, Attempt attempt) {}
 
   /** Adds a request; returns null when there is one with this name already. */
   @Nullable EntryRequest add(GenerationRequest request, long now) {
@@ -34,7 +34,7 @@
   }
 
   /** Returns the request with this name, or null; any text may be given. */
-  @Nullable EntryRequest byName(String name) {
+  @Nullable EntryRequest findByIdText(String name) {
     try {
       return requests.get(new RequestId(name));
     } catch (IllegalArgumentException e) {
@@ -44,21 +44,21 @@
   }
 
   /** Returns the attempt if it is still live, or null for one that ended or lost. */
-  @Nullable Found find(AttemptId id) {
+  @Nullable LiveAttempt findLiveAttempt(AttemptId id) {
     EntryRequest q = requests.get(id.request());
-    Attempt a = q == null ? null : q.find(id);
-    return q == null || a == null ? null : new Found(q, a);
+    Attempt a = q == null ? null : q.findLiveAttempt(id);
+    return q == null || a == null ? null : new LiveAttempt(q, a);
   }
 
   /** Returns whether an attempt is live, by the name that engines know it by. */
-  boolean holds(String attempt) {
+  boolean hasLiveAttempt(String attempt) {
     int dot = attempt.lastIndexOf('.');
-    EntryRequest q = dot <= 0 ? null : byName(attempt.substring(0, dot));
-    return q != null && q.live().stream().anyMatch(a -> a.id.toString().equals(attempt));
+    EntryRequest q = dot <= 0 ? null : findByIdText(attempt.substring(0, dot));
+    return q != null && q.liveAttempts().stream().anyMatch(a -> a.id.toString().equals(attempt));
   }
 
   /** Returns a copy that stays valid while requests end. */
-  List<EntryRequest> all() {
+  List<EntryRequest> snapshot() {
     return new ArrayList<>(requests.values());
   }
 
--- a/core/src/main/java/org/mustardlatch/core/routing/RetrySpread.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RetryAfterJitter.java
@@ -4,13 +4,13 @@
 import java.util.random.RandomGenerator;
 
 /** Draws {@code Retry-After} times from a range that grows with the excess load. */
-final class RetrySpread {
-  private static final long MIN_NANOS = 500_000_000;
-  private static final long MAX_NANOS = 30_000_000_000L;
+final class RetryAfterJitter {
+  private static final long MIN_RETRY_AFTER_NANOS = 500_000_000;
+  private static final long MAX_RANGE_NANOS = 30_000_000_000L;
 
   private final RandomGenerator random;
 
-  RetrySpread(RandomGenerator random) {
+  RetryAfterJitter(RandomGenerator random) {
     this.random = random;
   }
 
@@ -20,9 +20,9 @@
    * @param waitNanos predicted wait of a request that is refused now
    * @param budgetNanos wait that would have been acceptable
    */
-  Duration draw(long waitNanos, long budgetNanos) {
+  Duration drawRetryAfter(long waitNanos, long budgetNanos) {
     double excess = Math.max(1, (double) waitNanos / Math.max(1, budgetNanos));
-    double range = Math.min(MAX_NANOS, MIN_NANOS * (1 + 2 * excess));
-    return Duration.ofNanos(MIN_NANOS + (long) (random.nextDouble() * range));
+    double range = Math.min(MAX_RANGE_NANOS, MIN_RETRY_AFTER_NANOS * (1 + 2 * excess));
+    return Duration.ofNanos(MIN_RETRY_AFTER_NANOS + (long) (random.nextDouble() * range));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
@@ -33,13 +33,13 @@
   record CancelAttempt(AttemptId attempt, UpstreamId upstream) implements RoutingCommand {}
 
   /** Cancel what an engine holds for a node that is gone. */
-  record CancelHeld(HeldAttempt held, UpstreamId upstream) implements RoutingCommand {}
+  record CancelOrphanedAttempt(HeldAttempt attempt, UpstreamId upstream) implements RoutingCommand {}
 
   /** Tell a prefill engine that its KV cache is not needed any more. */
   record ReleaseKv(KvHandle handle) implements RoutingCommand {}
 
   /** Send a message to another node. */
-  record SendPeer(HostId to, PeerMessage message) implements RoutingCommand {}
+  record SendPeerMessage(HostId to, PeerMessage message) implements RoutingCommand {}
 
   /**
    * Give the caller its final answer: an error.
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
@@ -14,13 +14,13 @@
   record RequestArrived(GenerationRequest request) implements RoutingEvent {}
 
   /** The caller of a request is gone. */
-  record CallerGone(RequestId request) implements RoutingEvent {}
+  record CallerDisconnected(RequestId request) implements RoutingEvent {}
 
   /** The decode engine reserved a slot and memory for an attempt. */
   record EngineReserved(AttemptId attempt) implements RoutingEvent {}
 
   /** The decode engine did not reserve anything for an attempt. */
-  record EngineNotReserved(AttemptId attempt, Failure failure) implements RoutingEvent {}
+  record EngineReservationFailed(AttemptId attempt, Failure failure) implements RoutingEvent {}
 
   /** A prefill ended and its KV cache can be fetched. */
   record PrefillFinished(AttemptId attempt, KvHandle handle) implements RoutingEvent {}
@@ -53,7 +53,7 @@
   }
 
   /** A message from another node arrived. */
-  record PeerReceived(HostId from, PeerMessage message) implements RoutingEvent {}
+  record PeerMessageReceived(HostId from, PeerMessage message) implements RoutingEvent {}
 
   /** A manifest came into force. */
   record ManifestApplied(long revision, Manifest manifest) implements RoutingEvent {}
--- a/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
@@ -31,7 +31,7 @@
   static final WorkspaceId WORKSPACE = new WorkspaceId("planners");
   static final long MILLI = 1_000_000;
   static final long SECOND = 1_000 * MILLI;
-  static final long KV_LIFE = 800 * MILLI;
+  static final long KV_LIFETIME = 800 * MILLI;
 
   private Fixtures() {}
 
@@ -68,7 +68,7 @@
   /**
    * Returns {@code prefills} prefill engines p0, p1, … and {@code decodes} decode engines d0, ….
    */
-  static List<Upstream> pools(int prefills, int decodes) {
+  static List<Upstream> enginePools(int prefills, int decodes) {
     List<Upstream> result = new ArrayList<>();
     for (int i = 0; i < prefills; i++) {
       result.add(engine("p" + i, UpstreamRole.PREFILL, "oslo-a", 20));
@@ -80,7 +80,7 @@
   }
 
   /** Returns engines m0, m1, … that do both halves. */
-  static List<Upstream> mixed(int count) {
+  static List<Upstream> mixedEngines(int count) {
     List<Upstream> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       result.add(engine("m" + i, UpstreamRole.MIXED, "oslo-a", 20));
--- a/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
@@ -10,7 +10,7 @@
 
 class TopologyTest {
   private static final Manifest LARGE =
-      Fixtures.manifest(Objective.WASTE_AVERSE, Fixtures.pools(240, 360));
+      Fixtures.manifest(Objective.WASTE_AVERSE, Fixtures.enginePools(240, 360));
 
   private static List<Member> members(int count) {
     List<Member> result = new ArrayList<>();
--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -82,8 +82,8 @@
   @Override
   public void received(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage m -> events.accept(new RoutingEvent.PeerReceived(from, m));
-      case EvidenceMessage m -> events.accept(new RoutingEvent.PeerReceived(from, m));
+      case AdmissionMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case EvidenceMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
         // Other listeners take the messages about records; the peer service takes the rest itself.
       }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
@@ -42,7 +42,7 @@
   public void callerGone(Exchange exchange) {
     exchange.sink().abandon();
     exchanges.remove(exchange.id());
-    post(new RoutingEvent.CallerGone(exchange.id()));
+    post(new RoutingEvent.CallerDisconnected(exchange.id()));
   }
 
   /** Passes an event to the policy; returns at once. */
@@ -73,16 +73,16 @@
           find(c.attempt().request())
               .ifPresentOrElse(
                   e -> engines.startPrefill(e, c.attempt(), c.upstream()),
-                  () -> post(new RoutingEvent.CallerGone(c.attempt().request())));
+                  () -> post(new RoutingEvent.CallerDisconnected(c.attempt().request())));
       case RoutingCommand.StartDecode c ->
           find(c.attempt().request())
               .ifPresentOrElse(
                   e -> engines.startDecode(e, c.attempt(), c.upstream(), c.handle()),
-                  () -> post(new RoutingEvent.CallerGone(c.attempt().request())));
+                  () -> post(new RoutingEvent.CallerDisconnected(c.attempt().request())));
       case RoutingCommand.CancelAttempt c -> engines.cancel(c.attempt(), c.upstream());
-      case RoutingCommand.CancelHeld c -> engines.cancelHeld(c.held(), c.upstream());
+      case RoutingCommand.CancelOrphanedAttempt c -> engines.cancelHeld(c.attempt(), c.upstream());
       case RoutingCommand.ReleaseKv c -> engines.releaseKv(c.handle());
-      case RoutingCommand.SendPeer c -> peers.send(c.to(), c.message());
+      case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
       case RoutingCommand.Refuse c ->
           end(c.request()).ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
       case RoutingCommand.Complete c -> end(c.request()).ifPresent(e -> e.sink().complete());
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -73,7 +73,7 @@
   void reserve(GenerationStream s, RoutingCommand.ReserveEngine c) {
     Instance target = fleet.instance(c.upstream().value());
     if (target == null) {
-      post(new RoutingEvent.EngineNotReserved(c.attempt(), Failure.REFUSED));
+      post(new RoutingEvent.EngineReservationFailed(c.attempt(), Failure.REFUSED));
       return;
     }
     EngineTraits engine = s.exchange.service().engine();
@@ -200,7 +200,7 @@
           engine.id(),
           "reserve",
           reason);
-      post(new RoutingEvent.EngineNotReserved(attempt, failure));
+      post(new RoutingEvent.EngineReservationFailed(attempt, failure));
     }
   }
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationPath.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationPath.java
@@ -162,7 +162,7 @@
     }
     s.exchange.log("caller_left", null, 0);
     forget(s);
-    runner.handle(new RoutingEvent.CallerGone(s.id));
+    runner.handle(new RoutingEvent.CallerDisconnected(s.id));
     return true;
   }
 
@@ -186,8 +186,8 @@
       case RoutingCommand.Refuse c -> refuse(c);
       case RoutingCommand.Complete c -> complete(c.request());
       case RoutingCommand.Explain c -> explain(c);
-      case RoutingCommand.SendPeer c -> peers.send(c.to(), c.message());
-      case RoutingCommand.CancelHeld c -> {
+      case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
+      case RoutingCommand.CancelOrphanedAttempt c -> {
         // Engines drop what they hold when the connection of its node closes.
       }
       case RoutingCommand.SetTimer c -> throw new IllegalStateException("kept by the runner: " + c);
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/PeerLink.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/PeerLink.java
@@ -130,8 +130,8 @@
   @Override
   public void received(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage m -> post(new RoutingEvent.PeerReceived(from, m));
-      case EvidenceMessage m -> post(new RoutingEvent.PeerReceived(from, m));
+      case AdmissionMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
+      case EvidenceMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
         // The node itself takes the rest.
       }
--- a/replay/src/main/java/org/mustardlatch/replay/BaselinePolicy.java
+++ b/replay/src/main/java/org/mustardlatch/replay/BaselinePolicy.java
@@ -49,7 +49,7 @@
   public void handle(RoutingEvent event, long now, Consumer<RoutingCommand> out) {
     switch (event) {
       case RoutingEvent.RequestArrived e -> arrive(e.request(), now, out);
-      case RoutingEvent.CallerGone e -> drop(jobs.remove(e.request()), out);
+      case RoutingEvent.CallerDisconnected e -> drop(jobs.remove(e.request()), out);
       case RoutingEvent.PrefillFinished e -> {
         Job job = current(e.attempt());
         if (job != null) {
@@ -72,9 +72,9 @@
       }
       case RoutingEvent.DecodeStarted e -> {}
       case RoutingEvent.EngineReserved e -> {}
-      case RoutingEvent.EngineNotReserved e -> {}
+      case RoutingEvent.EngineReservationFailed e -> {}
       case RoutingEvent.HeldAttemptsListed e -> {}
-      case RoutingEvent.PeerReceived e -> {}
+      case RoutingEvent.PeerMessageReceived e -> {}
       case RoutingEvent.MembersChanged e -> {}
       case RoutingEvent.DrainRequested e -> {}
     }
--- a/replay/src/main/java/org/mustardlatch/replay/Callers.java
+++ b/replay/src/main/java/org/mustardlatch/replay/Callers.java
@@ -136,7 +136,7 @@
 
   private void leave(Try t, Ending how) {
     if (end(t, how)) {
-      t.node().handle(new RoutingEvent.CallerGone(t.request().id()));
+      t.node().handle(new RoutingEvent.CallerDisconnected(t.request().id()));
     }
   }
 
--- a/replay/src/main/java/org/mustardlatch/replay/Dispatcher.java
+++ b/replay/src/main/java/org/mustardlatch/replay/Dispatcher.java
@@ -55,12 +55,12 @@
       case RoutingCommand.StartDecode c -> startDecode(node, c, callers);
       case RoutingCommand.CancelAttempt c ->
           send(node, engine(c.upstream()), e -> e.cancel(c.attempt()));
-      case RoutingCommand.CancelHeld c ->
-          send(node, engine(c.upstream()), e -> e.cancelHeld(c.held()));
+      case RoutingCommand.CancelOrphanedAttempt c ->
+          send(node, engine(c.upstream()), e -> e.cancelHeld(c.attempt()));
       case RoutingCommand.ReleaseKv c ->
           send(node, engine(c.handle().source()), e -> e.prefill().release(c.handle().reference()));
-      case RoutingCommand.SendPeer c -> {
-        RoutingEvent event = new RoutingEvent.PeerReceived(node.member().host(), c.message());
+      case RoutingCommand.SendPeerMessage c -> {
+        RoutingEvent event = new RoutingEvent.PeerMessageReceived(node.member().host(), c.message());
         RegionId to = fleet.node(c.to()).member().region();
         network.send(
             node.member().region(), to, MESSAGE_BYTES, () -> fleet.node(c.to()).handle(event));
