--- a/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
@@ -7,71 +7,106 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** One attempt of a request at its entry node, from the ask for a reservation to its end. */
+/**
+ * State of one attempt of a request at its entry node, from the reservation request to the release
+ * of the reservation. All times are monotonic nanoseconds of this node.
+ */
 final class Attempt {
-  /** How far an attempt has come. */
+  /** Stage of an attempt, in the order in which an attempt passes through them. */
   enum State {
+    /** A reservation was requested from an admitting node, which has not responded. */
     ASKING,
+    /** The admitting node has queued the reservation request. */
     QUEUED,
-    /** The decode engine is asked to reserve a slot and memory. */
+    /** The decode engine was requested to reserve a slot and memory. */
     RESERVING,
+    /** The prefill engine is processing the prompt. */
     PREFILL,
+    /** The decode engine is fetching the KV cache. */
     TRANSFER,
+    /** The decode engine is generating tokens. */
     DECODE
   }
 
   final AttemptId id;
   final Cell cell;
 
-  /** Handle of the earlier attempt that this one takes over; null when it starts with a prefill. */
+  /** KV cache of an earlier attempt that this one reuses; null if it starts with a prefill. */
   final @Nullable KvHandle inheritedKv;
 
-  /** Nodes that were asked and may hold a reservation. */
+  /** Nodes that received a reservation request and may have granted it. */
   final List<HostId> contactedNodes = new ArrayList<>();
 
   State state = State.ASKING;
+
+  /** Time at which the attempt entered its state. */
   long stateSinceNanos;
-  long lastReservationRequestNanos;
 
-  /** The node that granted the reservation; null before. */
+  /** Time of the last reservation request. */
+  long lastRequestNanos;
+
+  /** Node that holds the reservation; null before the grant. */
   @Nullable HostId admittingNode;
 
+  /** Engine of the prefill; null before the grant. */
   @Nullable UpstreamId prefillEngine;
+
+  /** Engine of the decode; null before the grant. */
   @Nullable UpstreamId decodeEngine;
+
+  /** KV cache that the decode engine fetches; null before the transfer. */
   @Nullable KvHandle kvHandle;
+
+  /** Time of the grant. */
   long grantedNanos;
+
+  /** Time at which the reservation expires unless it is renewed. */
   long validUntilNanos;
+
+  /** Time of the last renewal, or of the grant before the first renewal. */
   long lastRenewalNanos;
+
+  /**
+   * Whether the reservation was renewed during the current prefill because it is late, or during
+   * the current decode as a result of a progress check.
+   */
   boolean renewedInStage;
 
-  /** Tokens of the request when the progress of the decode was last looked at. */
+  /** Tokens sent to the caller at the last progress check of the decode. */
   int tokensAtLastCheck;
 
+  /** Time of the last progress check of the decode. */
   long lastCheckNanos;
 
-  /** Whether the decode was slow when the admitting node last heard of it. */
+  /** Whether the decode was slow at the last renewal. */
   boolean reportedSlow;
 
+  /**
+   * Time of the last sign of progress: a state change, a response that confirms the place in the
+   * queue, or tokens.
+   */
   long lastProgressNanos;
 
-  Attempt(AttemptId id, Cell cell, @Nullable KvHandle inherited) {
+  Attempt(AttemptId id, Cell cell, @Nullable KvHandle inheritedKv) {
     this.id = id;
     this.cell = cell;
-    this.inheritedKv = inherited;
+    this.inheritedKv = inheritedKv;
   }
 
+  /** Changes the state and resets the time of the last progress. */
   void enterState(State next, long now) {
     state = next;
     stateSinceNanos = now;
     lastProgressNanos = now;
   }
 
-  /** Returns the predicted time from the grant to the first token, nanoseconds. */
+  /** Returns the predicted duration from the grant to the first token, nanoseconds. */
   long predictedFirstTokenNanos() {
     return Math.max(0, validUntilNanos - grantedNanos - CellAdmission.GRANT_MARGIN_NANOS);
   }
 
-  boolean isGranted() {
+  /** Returns whether an admitting node has granted a reservation. */
+  boolean granted() {
     return state.compareTo(State.RESERVING) >= 0;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
@@ -14,9 +14,15 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveWithdraw;
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 
-/** Carries one attempt through its reservation and its upstream calls. */
+/**
+ * Emits the messages to admitting nodes and the upstream calls of an attempt. The decisions are
+ * made by {@link RequestCoordinator}.
+ */
 final class AttemptDriver {
-  /** Prefix blocks sent with an ask; 16,384 tokens of shared prefix tell engines apart enough. */
+  /**
+   * Prefix blocks sent with a reservation request. A shared prefix of 16,384 tokens is long enough
+   * to choose between engines.
+   */
   private static final int MAX_SENT_PREFIX_BLOCKS = 64;
 
   private final CommandCollector commands;
@@ -33,7 +39,12 @@
     topology = next;
   }
 
-  /** Asks the next admitting node of the cell; returns false when every one was asked. */
+  /**
+   * Requests a reservation from the next admitting node of the cell that has not received a request
+   * yet.
+   *
+   * @return false if every admitting node of the cell has received a request
+   */
   boolean contactNextNode(EntryRequest q, Attempt a) {
     for (HostId host : topology.owners(a.cell)) {
       if (!a.contactedNodes.contains(host)) {
@@ -45,16 +56,16 @@
     return false;
   }
 
-  /** Asks the node that was asked last once more, in case a message was lost. */
+  /** Repeats the last reservation request, in case a message was lost. */
   void repeatReservationRequest(EntryRequest q, Attempt a) {
     sendReservationRequest(q, a, a.contactedNodes.getLast());
   }
 
   private void sendReservationRequest(EntryRequest q, Attempt a, HostId host) {
     long now = commands.now();
-    a.lastReservationRequestNanos = now;
+    a.lastRequestNanos = now;
     GenerationRequest r = q.request;
-    List<UpstreamId> excluded = List.copyOf(q.excludedUpstreams);
+    List<UpstreamId> excluded = List.copyOf(q.excluded);
     KvHandle kv = a.inheritedKv;
     if (kv != null) {
       commands.send(
@@ -82,14 +93,19 @@
             r.model(),
             q.promptTokens(),
             q.plannedTokens(),
-            prefix.size() > MAX_SENT_PREFIX_BLOCKS ? prefix.subList(0, MAX_SENT_PREFIX_BLOCKS) : prefix,
+            prefix.size() > MAX_SENT_PREFIX_BLOCKS
+                ? prefix.subList(0, MAX_SENT_PREFIX_BLOCKS)
+                : prefix,
             r.fingerprint(),
             firstTokenBudgetNanos(q, a),
             r.finalDeadlineNanos() - now,
             excluded));
   }
 
-  /** Returns the time left for the next token; a continued stream has a whole target again. */
+  /**
+   * Returns the time left for the next token, nanoseconds. A continued stream gets the full
+   * first-token target of the model again.
+   */
   private long firstTokenBudgetNanos(EntryRequest q, Attempt a) {
     long now = commands.now();
     if (q.tokensSent > 0) {
@@ -99,14 +115,17 @@
     return q.request.firstTokenDeadlineNanos() - now - crossRegionDelay.delayNanos(a.cell);
   }
 
-  /** Takes note that an admitting node answered the last ask. */
+  /** Records the response time of an admitting node to the last reservation request. */
   void recordResponse(Attempt a) {
     if (a.state == Attempt.State.ASKING) {
-      crossRegionDelay.recordResponse(a.cell, commands.now() - a.lastReservationRequestNanos);
+      crossRegionDelay.recordResponse(a.cell, commands.now() - a.lastRequestNanos);
     }
   }
 
-  /** Starts the upstream work of a granted attempt. */
+  /**
+   * Starts the upstream work of an attempt whose reservation was granted, and withdraws the
+   * reservation requests to other nodes.
+   */
   void startGranted(EntryRequest q, Attempt a, HostId from, ReserveGranted grant) {
     long now = commands.now();
     a.admittingNode = from;
@@ -134,7 +153,7 @@
     }
   }
 
-  /** Starts the prefill of an attempt whose decode engine has room for it. */
+  /** Starts the prefill of an attempt that has a decode slot. */
   void startPrefill(Attempt a) {
     UpstreamId prefill = a.prefillEngine;
     if (prefill == null) {
@@ -144,35 +163,37 @@
     commands.emit(new RoutingCommand.StartPrefill(a.id, prefill));
   }
 
-  /** Starts the decode of an attempt whose KV cache is ready. */
-  void startDecode(EntryRequest q, Attempt a, KvHandle handle) {
+  /** Starts the decode of an attempt whose KV cache can be fetched. */
+  void startDecode(EntryRequest q, Attempt a, KvHandle kvHandle) {
     UpstreamId decode = a.decodeEngine;
     if (decode == null) {
       throw new IllegalStateException("attempt " + a.id + " has no decode engine");
     }
-    a.kvHandle = handle;
+    a.kvHandle = kvHandle;
     a.enterState(Attempt.State.TRANSFER, commands.now());
-    commands.emit(new RoutingCommand.StartDecode(a.id, decode, handle, q.tokensSent));
+    commands.emit(new RoutingCommand.StartDecode(a.id, decode, kvHandle, q.tokensSent));
   }
 
-  /** Tells the admitting node that the attempt goes on. */
+  /** Renews the reservation and reports the stage and the progress to the admitting node. */
   void renewReservation(EntryRequest q, Attempt a, Stage stage) {
     UpstreamId upstream = stage == Stage.PREFILL ? a.prefillEngine : a.decodeEngine;
     if (a.admittingNode != null && upstream != null) {
       a.lastRenewalNanos = commands.now();
-      commands.send(a.admittingNode, new ReservationRenew(a.id, a.cell.name(), upstream, stage, q.tokensSent));
+      commands.send(
+          a.admittingNode,
+          new ReservationRenew(a.id, a.cell.name(), upstream, stage, q.tokensSent));
     }
   }
 
   /**
-   * Cancels what an attempt has running and frees its reservation.
+   * Cancels the upstream work of an attempt and releases its reservation.
    *
-   * @param keepHandle whether the KV cache goes to another attempt
+   * @param keepKv whether the KV cache is kept for another attempt
    */
-  void cancel(Attempt a, Outcome outcome, boolean keepHandle) {
+  void cancel(Attempt a, Outcome outcome, boolean keepKv) {
     switch (a.state) {
       case ASKING, QUEUED -> {
-        if (a.inheritedKv != null && !keepHandle) {
+        if (a.inheritedKv != null && !keepKv) {
           commands.emit(new RoutingCommand.ReleaseKv(a.inheritedKv));
         }
       }
@@ -180,7 +201,7 @@
       case PREFILL -> cancelOnUpstream(a, a.prefillEngine);
       case TRANSFER -> {
         cancelOnUpstream(a, a.decodeEngine);
-        if (a.kvHandle != null && !keepHandle) {
+        if (a.kvHandle != null && !keepKv) {
           commands.emit(new RoutingCommand.ReleaseKv(a.kvHandle));
         }
       }
@@ -195,11 +216,12 @@
     }
   }
 
-  /** Frees the reservation of an attempt that has nothing running any more. */
+  /** Releases the reservation of an attempt that has no upstream work any more. */
   void releaseReservation(Attempt a, Outcome outcome) {
     UpstreamId upstream = a.state == Attempt.State.PREFILL ? a.prefillEngine : a.decodeEngine;
     if (a.admittingNode != null && upstream != null) {
-      commands.send(a.admittingNode, new ReservationRelease(a.id, a.cell.name(), upstream, outcome));
+      commands.send(
+          a.admittingNode, new ReservationRelease(a.id, a.cell.name(), upstream, outcome));
     } else {
       withdrawReservationRequests(a);
     }
@@ -211,7 +233,7 @@
     }
   }
 
-  /** Frees a grant that came too late or twice. */
+  /** Releases a grant that is not used, such as a late or second one. */
   void declineGrant(HostId from, ReserveGranted grant) {
     commands.send(
         from,
@@ -219,14 +241,17 @@
             grant.attempt(), grant.summary().cell(), grant.decode(), Outcome.CANCELLED));
   }
 
-  /** Moves an attempt to the node that admits to its cell now. */
+  /**
+   * Moves an attempt to the current admitting node of its cell: repeats the reservation request, or
+   * renews the reservation, at that node.
+   */
   void updateAdmittingNode(EntryRequest q, Attempt a) {
     List<HostId> owners = topology.owners(a.cell);
     if (owners.isEmpty()) {
       return;
     }
     HostId owner = owners.getFirst();
-    if (!a.isGranted()) {
+    if (!a.granted()) {
       a.contactedNodes.removeIf(h -> topology.member(h) == null);
       if (!a.contactedNodes.contains(owner)) {
         a.contactedNodes.add(owner);
@@ -239,6 +264,7 @@
     }
   }
 
+  /** Returns the stage that a renewal reports. */
   static Stage stage(Attempt a) {
     return switch (a.state) {
       case DECODE -> Stage.DECODE;
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -11,21 +11,25 @@
 import org.mustardlatch.core.quarantine.CrashEvidence;
 import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
 
-/** Finds a cell for a request, after the permission that a suspect needs. */
+/**
+ * Starts the attempts of a request: checks for quarantine, requests the permission that a suspect
+ * needs to run, and chooses a cell of this or another region.
+ */
 final class AttemptStarter {
   private static final long PERMISSION_TIMEOUT_NANOS = 100_000_000;
   private static final long PERMISSION_RETRY_NANOS = 200_000_000;
   private static final int MAX_PERMISSION_REQUESTS = 3;
   private static final int MAX_LOCAL_CELLS = 2;
-  // Time to read what arrived during a pause, above all leaving notices, before new work starts.
+  // Time to process messages that arrived during a pause, mainly leaving notices, before new work
+  // starts.
   private static final long PAUSE_RECOVERY_NANOS = 200_000_000;
 
-  /** What the starter needs from the keeper of the requests. */
+  /** Operations of the coordinator that owns the requests. */
   interface RequestCallbacks {
-    /** Gives the final answer. */
+    /** Sends an error to the caller as the final response. */
     void refuse(EntryRequest q, ErrorCode code, String detail, Duration retryAfter);
 
-    /** Sets the timer of a request with an attempt. */
+    /** Sets the timer of a request to the next check of its attempts. */
     void updateTimer(EntryRequest q);
   }
 
@@ -40,38 +44,41 @@
   private final RequestCallbacks callbacks;
   private Topology topology = new Topology(null, List.of());
 
-  /** Time before which no attempt starts, after a pause. */
+  /** Monotonic time before which no attempt starts, after a pause. */
   private long earliestStartNanos = Long.MIN_VALUE;
 
   AttemptStarter(
       CellAdmission.Environment env,
-      EvidenceSide evidenceSide,
-      CellChooser chooser,
-      CrossRegionPolicy crossing,
+      EvidenceSide evidenceCoordinator,
+      CellChooser cellChooser,
+      CrossRegionPolicy crossRegionPolicy,
       AttemptDriver driver,
       RegionId region,
-      RequestCallbacks ends) {
+      RequestCallbacks callbacks) {
     this.commands = env.effects();
     this.settings = env.settings();
     this.evidence = env.evidence();
-    this.evidenceCoordinator = evidenceSide;
-    this.cellChooser = chooser;
-    this.crossRegionPolicy = crossing;
+    this.evidenceCoordinator = evidenceCoordinator;
+    this.cellChooser = cellChooser;
+    this.crossRegionPolicy = crossRegionPolicy;
     this.driver = driver;
     this.region = region;
-    this.callbacks = ends;
+    this.callbacks = callbacks;
   }
 
   void topologyChanged(Topology next) {
     topology = next;
   }
 
-  /** Holds new attempts back until the messages that arrived in a pause have been read. */
+  /** Delays new attempts until the messages that arrived during a pause have been processed. */
   void delayNewAttempts() {
     earliestStartNanos = commands.now() + PAUSE_RECOVERY_NANOS;
   }
 
-  /** Starts an attempt with a prefill, after the permission that a suspect needs. */
+  /**
+   * Starts an attempt with a prefill. A suspect first needs a permission; a quarantined or expired
+   * request is refused.
+   */
   void startAttempt(EntryRequest q) {
     long now = commands.now();
     if (now < earliestStartNanos) {
@@ -96,31 +103,40 @@
   private void startLocally(EntryRequest q) {
     Cell cell = cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells);
     if (cell == null || q.refusedCells.size() >= MAX_LOCAL_CELLS) {
-      startRemotely(q, ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.DEFAULT_RETRY_AFTER);
+      startRemotely(q, ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.RETRY_AFTER);
       return;
     }
-    boolean crosses = !cell.hasPrefillEngine() && !q.remoteCellContacted;
-    Cell remote = crosses ? crossRegionPolicy.chooseCell(q, topology, Cell::hasPrefillEngine) : null;
+    boolean preferRemote = !cell.hasPrefillEngine() && !q.remoteCellContacted;
+    Cell remote =
+        preferRemote ? crossRegionPolicy.chooseCell(q, topology, Cell::hasPrefillEngine) : null;
     q.remoteCellContacted |= remote != null;
     requestReservation(q, remote == null ? cell : remote, null);
   }
 
-  void requestReservation(EntryRequest q, Cell cell, @Nullable KvHandle inherited) {
-    Attempt a = new Attempt(q.nextAttempt(), cell, inherited);
+  /**
+   * Starts an attempt in a cell.
+   *
+   * @param inheritedKv KV cache to reuse; null to start with a prefill
+   */
+  void requestReservation(EntryRequest q, Cell cell, @Nullable KvHandle inheritedKv) {
+    Attempt a = new Attempt(q.nextAttempt(), cell, inheritedKv);
     q.current = a;
     a.enterState(Attempt.State.ASKING, commands.now());
     if (driver.contactNextNode(q, a)) {
       callbacks.updateTimer(q);
     } else {
       q.current = null;
-      handleCellRefusal(q, cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.DEFAULT_RETRY_AFTER);
+      handleCellRefusal(
+          q, cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, RequestCoordinator.RETRY_AFTER);
     }
   }
 
-  /** Asks the other region when the local cells refused, or gives up. */
+  /** Starts an attempt in another region after the local cells refused, or refuses the request. */
   private void startRemotely(EntryRequest q, ErrorCode code, Duration retryAfter) {
     Cell cell =
-        q.attemptCount() < RequestCoordinator.MAX_ATTEMPTS ? crossRegionPolicy.chooseCell(q, topology, c -> true) : null;
+        q.attemptCount() < RequestCoordinator.MAX_ATTEMPTS
+            ? crossRegionPolicy.chooseCell(q, topology, c -> true)
+            : null;
     if (cell != null) {
       requestReservation(q, cell, null);
     } else {
@@ -128,52 +144,60 @@
     }
   }
 
-  /** Asks the other region as well while the local queue is long; the first grant is used. */
+  /**
+   * Also requests a reservation from another region if the predicted wait in the local queue is
+   * long. The first grant is used.
+   */
   void requestRemoteHedge(EntryRequest q, Attempt a, long waitNanos) {
     long budget = q.request.firstTokenDeadlineNanos() - q.arrivedNanos;
-    boolean isLong = waitNanos > settings.tuning().crossWaitShare() * budget;
-    boolean local = a == q.current && a.cell.region().equals(region);
-    if (!isLong || !local || q.remoteCellContacted || q.hedge != null || q.tokensSent > 0) {
+    boolean waitIsLong = waitNanos > settings.tuning().crossWaitShare() * budget;
+    boolean isLocal = a == q.current && a.cell.region().equals(region);
+    if (!waitIsLong || !isLocal || q.remoteCellContacted || q.hedge != null || q.tokensSent > 0) {
       return;
     }
     Cell cell = crossRegionPolicy.chooseCell(q, topology, Cell::hasPrefillEngine);
     if (cell != null) {
       q.remoteCellContacted = true;
-      Attempt remote = new Attempt(q.nextAttempt(), cell, null);
-      remote.enterState(Attempt.State.ASKING, commands.now());
-      if (driver.contactNextNode(q, remote)) {
-        q.hedge = remote;
+      Attempt hedge = new Attempt(q.nextAttempt(), cell, null);
+      hedge.enterState(Attempt.State.ASKING, commands.now());
+      if (driver.contactNextNode(q, hedge)) {
+        q.hedge = hedge;
       }
     }
   }
 
+  /** Continues with another local cell, or with another region if there is none. */
   void handleCellRefusal(EntryRequest q, String cell, ErrorCode code, Duration retryAfter) {
     q.refusedCells.add(cell);
-    boolean more =
+    boolean anotherLocalCell =
         q.refusedCells.size() < MAX_LOCAL_CELLS
             && cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells) != null;
-    if (more) {
+    if (anotherLocalCell) {
       startLocally(q);
     } else {
       startRemotely(q, code, retryAfter);
     }
   }
 
+  /** Requests the permission to run a suspect from an owner of its fingerprint. */
   void requestPermission(EntryRequest q) {
     q.awaitsPermission = true;
     List<HostId> owners = evidenceCoordinator.owners(q.request.fingerprint());
     if (owners.isEmpty() || q.permissionRequests >= MAX_PERMISSION_REQUESTS) {
-      // No owner answers; the admitting node still keeps suspects apart.
+      // No owner responded. The admitting node still runs suspects apart from other requests.
       startPermitted(q);
       return;
     }
     HostId owner = owners.get(q.permissionRequests % owners.size());
     q.permissionRequests++;
     commands.send(owner, new RunRequest(q.request.fingerprint(), q.request.id().value()));
-    commands.setTimer(RequestCoordinator.TIMER_KIND, q.request.id().value(), commands.now() + PERMISSION_TIMEOUT_NANOS);
+    commands.setTimer(
+        RequestCoordinator.TIMER_KIND,
+        q.request.id().value(),
+        commands.now() + PERMISSION_TIMEOUT_NANOS);
   }
 
-  /** Handles the answer of the owner of a suspect fingerprint. */
+  /** Handles the verdict of the owner of a suspect fingerprint. */
   void handleVerdict(EntryRequest q, Verdict verdict) {
     if (q.awaitsPermission) {
       switch (verdict) {
@@ -183,9 +207,15 @@
           q.permissionRequests = 0;
           if (commands.now() >= q.request.firstTokenDeadlineNanos()) {
             callbacks.refuse(
-                q, ErrorCode.OVERLOADED, "the same request is being examined", RequestCoordinator.DEFAULT_RETRY_AFTER);
+                q,
+                ErrorCode.OVERLOADED,
+                "the same request is being examined",
+                RequestCoordinator.RETRY_AFTER);
           } else {
-            commands.setTimer(RequestCoordinator.TIMER_KIND, q.request.id().value(), commands.now() + PERMISSION_RETRY_NANOS);
+            commands.setTimer(
+                RequestCoordinator.TIMER_KIND,
+                q.request.id().value(),
+                commands.now() + PERMISSION_RETRY_NANOS);
           }
         }
       }
@@ -200,6 +230,7 @@
     startLocally(q);
   }
 
+  /** Refuses a request whose content is quarantined. */
   void refuseQuarantined(EntryRequest q) {
     String detail = "its content was on two engines that crashed";
     callbacks.refuse(q, ErrorCode.REQUEST_QUARANTINED, detail, Duration.ZERO);
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -56,7 +56,10 @@
 
   /** What a cell needs from its node. */
   record Environment(
-      CommandCollector effects, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
+      CommandCollector effects,
+      RandomGenerator random,
+      CrashEvidence evidence,
+      NodeSettings settings) {}
 
   /** Receives crashes that a cell recognised. */
   interface CrashListener {
@@ -604,7 +607,7 @@
 
   private void refuseOverloaded(Ask ask) {
     long budget = Math.max(1, ask.budgetNanos());
-    Duration after = spread.drawRetryAfter(summary().predictedWaitNanos(), budget);
+    Duration after = spread.draw(summary().predictedWaitNanos(), budget);
     boolean none = usableDecodeSlots() == 0;
     refuse(ask, none ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -12,12 +12,16 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.peer.AdmissionMessage.CellSummary;
 
-/** Chooses the cell that is asked, by the summaries in the answers of admitting nodes. */
+/**
+ * Chooses the cell for an attempt by the capacity summaries that admitting nodes send with their
+ * responses.
+ */
 final class CellChooser {
-  // A summary says nothing any more once most of the requests it counted have moved on.
+  // An older summary is ignored: most of the requests that it counted have left the cell.
   private static final long MAX_SUMMARY_AGE_NANOS = 1_000_000_000;
 
-  // A cell with less room than this needs it for the callers of its own region.
+  // A cell with a longer wait or fewer free slots needs its capacity for the callers of its own
+  // region.
   private static final long MAX_REMOTE_WAIT_NANOS = 20_000_000;
   private static final int MIN_REMOTE_FREE_SLOTS = 8;
 
@@ -32,20 +36,29 @@
     this.random = random;
   }
 
+  /** Records the latest summary of a cell. */
   void recordSummary(CellSummary summary, long now) {
     summaries.put(summary.cell(), new TimedSummary(summary, now));
   }
 
+  /** Removes the summaries of cells that the topology no longer has. */
   void retainCells(Topology topology) {
     summaries.keySet().removeIf(name -> topology.cell(name) == null);
   }
 
-  /** Returns the better of two cells of this region that were not asked yet, or null. */
+  /**
+   * Returns the less loaded of two random cells of this region that have not refused the request,
+   * or null if there is none.
+   */
   @Nullable Cell chooseLocal(Topology topology, ModelId model, Set<String> refused) {
     return betterOfTwo(topology, withoutRefused(topology.cells(model, region), refused));
   }
 
-  /** Returns a cell of another region that fits and may have room, or null. */
+  /**
+   * Returns a cell of another region that may have free capacity, or null if there is none.
+   *
+   * @param eligible selects the cells to consider
+   */
   @Nullable Cell chooseRemote(
       Topology topology, ModelId model, Set<String> refused, Predicate<Cell> eligible, long now) {
     List<Cell> cells = new ArrayList<>();
@@ -62,11 +75,11 @@
   }
 
   private boolean mayHaveCapacity(Cell cell, long now) {
-    TimedSummary k = summaries.get(cell.name());
-    return k == null
-        || now - k.receivedNanos() > MAX_SUMMARY_AGE_NANOS
-        || (k.summary().freeSlots() >= MIN_REMOTE_FREE_SLOTS
-            && k.summary().predictedWaitNanos() < MAX_REMOTE_WAIT_NANOS);
+    TimedSummary s = summaries.get(cell.name());
+    return s == null
+        || now - s.receivedNanos() > MAX_SUMMARY_AGE_NANOS
+        || (s.summary().freeSlots() >= MIN_REMOTE_FREE_SLOTS
+            && s.summary().predictedWaitNanos() < MAX_REMOTE_WAIT_NANOS);
   }
 
   private static List<Cell> withoutRefused(List<Cell> cells, Set<String> refused) {
@@ -75,6 +88,7 @@
         : cells.stream().filter(c -> !refused.contains(c.name())).toList();
   }
 
+  /** Chooses the cell with the lower load score of two random cells. */
   private @Nullable Cell betterOfTwo(Topology topology, List<Cell> cells) {
     if (cells.size() <= 1) {
       return cells.isEmpty() ? null : cells.getFirst();
@@ -84,12 +98,13 @@
     return loadScore(a) <= loadScore(b) && !topology.owners(a).isEmpty() ? a : b;
   }
 
+  /** Returns a score that is lower for a cell with free slots and a short wait. */
   private double loadScore(Cell cell) {
-    TimedSummary k = summaries.get(cell.name());
-    if (k == null) {
+    TimedSummary s = summaries.get(cell.name());
+    if (s == null) {
       return 0;
     }
-    double wait = k.summary().predictedWaitNanos();
-    return k.summary().freeSlots() > 0 ? wait / 2 : 1e9 + wait;
+    double wait = s.summary().predictedWaitNanos();
+    return s.summary().freeSlots() > 0 ? wait / 2 : 1e9 + wait;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/CommandCollector.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CommandCollector.java
@@ -8,7 +8,10 @@
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** The time of the event in progress and the commands that it leads to. */
+/**
+ * Collects the commands that the event in progress leads to, and supplies its time to all parts of
+ * the node's routing decisions. Messages that a node sends to itself are queued here.
+ */
 final class CommandCollector {
   private final HostId self;
   private final ArrayDeque<PeerMessage> localMessages = new ArrayDeque<>();
@@ -19,6 +22,12 @@
     this.self = self;
   }
 
+  /**
+   * Starts an event.
+   *
+   * @param nowNanos time of the event, monotonic nanoseconds
+   * @param out receives the commands
+   */
   void beginEvent(long nowNanos, Consumer<RoutingCommand> out) {
     this.nowNanos = nowNanos;
     this.out = out;
@@ -29,23 +38,27 @@
     return nowNanos;
   }
 
+  /** Returns the host of this node. */
   HostId self() {
     return self;
   }
 
+  /** Passes a command to the receiver of the event in progress. */
   void emit(RoutingCommand command) {
     Objects.requireNonNull(out, "no event is in progress").accept(command);
   }
 
+  /** Emits an explanation of a decision. */
   void explain(RequestId request, String rule, String detail) {
     emit(new RoutingCommand.Explain(request, rule, detail));
   }
 
+  /** Emits a command that sets a timer. */
   void setTimer(String kind, String subject, long atNanos) {
     emit(new RoutingCommand.SetTimer(new TimerKey(kind, subject), atNanos));
   }
 
-  /** Sends a message; one to this node itself is handled after the event in progress. */
+  /** Sends a message. A message to this node itself is handled after the event in progress. */
   void send(HostId to, PeerMessage message) {
     if (to.equals(self)) {
       localMessages.add(message);
@@ -54,7 +67,7 @@
     }
   }
 
-  /** Returns the next message to this node itself, or null. */
+  /** Removes and returns the next message to this node itself, or returns null. */
   @Nullable PeerMessage pollLocalMessage() {
     return localMessages.poll();
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/CrossRegionPolicy.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrossRegionPolicy.java
@@ -4,7 +4,9 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.manifest.CrossRegionLink;
 
-/** Chooses whether and where a request goes to another region, under the byte budget. */
+/**
+ * Decides whether a request is routed to another region, and to which cell, within a byte budget.
+ */
 final class CrossRegionPolicy {
   private static final int OUTPUT_BYTES_PER_TOKEN = 5;
 
@@ -13,23 +15,27 @@
   private final CellChooser cellChooser;
   private final CrossRegionBudget budget = new CrossRegionBudget();
 
-  CrossRegionPolicy(CommandCollector commands, NodeSettings settings, CellChooser chooser) {
+  CrossRegionPolicy(CommandCollector commands, NodeSettings settings, CellChooser cellChooser) {
     this.commands = commands;
     this.settings = settings;
-    this.cellChooser = chooser;
+    this.cellChooser = cellChooser;
   }
 
+  /** Sets the budget from the link and the number of nodes of this region that share it. */
   void configure(CrossRegionLink link, int nodes) {
     budget.configure(link, nodes);
   }
 
   /**
-   * Returns a cell of another region and takes the bytes from the budget, or returns null.
+   * Returns a cell of another region and acquires the bytes of the request from the budget, or
+   * returns null if no cell is suitable or the budget is too low.
    *
-   * @param fits tells the cells that are worth a crossing
+   * @param eligible selects the cells that may serve the request
    */
   @Nullable Cell chooseCell(EntryRequest q, Topology topology, Predicate<Cell> eligible) {
-    Cell cell = cellChooser.chooseRemote(topology, q.request.model(), q.refusedCells, eligible, commands.now());
+    Cell cell =
+        cellChooser.chooseRemote(
+            topology, q.request.model(), q.refusedCells, eligible, commands.now());
     if (cell == null) {
       return null;
     }
@@ -44,7 +50,7 @@
     return cell;
   }
 
-  /** Gives the bytes of a crossing back that was not granted. */
+  /** Releases the bytes of a cross-region reservation request that was refused. */
   void releaseBudget(EntryRequest q) {
     budget.release(q.acquiredCrossRegionBytes);
     q.acquiredCrossRegionBytes = 0;
--- a/core/src/main/java/org/mustardlatch/core/routing/DecodeProgressMonitor.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/DecodeProgressMonitor.java
@@ -1,23 +1,25 @@
 package org.mustardlatch.core.routing;
 
-/** Looks at the progress of a decode now and then. */
+/** Detects slow and stalled decodes by the tokens that arrived since the last check. */
 final class DecodeProgressMonitor {
   private static final long FIRST_RENEWAL_NANOS = 1_000_000_000;
   private static final long RENEWAL_INTERVAL_NANOS = 9_000_000_000L;
   private static final double SLOW_GAP_FACTOR = 1.3;
   private static final int STALL_GAP_FACTOR = 10;
 
-  /** What must be done about a decode. */
+  /** Result of a progress check. */
   enum Assessment {
+    /** No action is needed. */
     ON_TRACK,
-    /** Tell the admitting node how far it is. */
+    /** The progress must be reported to the admitting node with a renewal. */
     RENEWAL_DUE,
+    /** No token arrived for the stall timeout. */
     STALLED
   }
 
   private DecodeProgressMonitor() {}
 
-  /** Starts the watch of a decode that has just begun. */
+  /** Resets the progress state of an attempt whose decode has just started. */
   static void start(EntryRequest q, Attempt a, long now) {
     a.renewedInStage = false;
     a.reportedSlow = false;
@@ -25,23 +27,24 @@
     a.lastCheckNanos = now;
   }
 
+  /** Returns what must be done about a decode, and records the check in the attempt. */
   static Assessment assess(EntryRequest q, Attempt a, long now) {
     long gap = a.cell.model().tokenGapTarget().toNanos();
-    long stall = Math.max(AttemptDeadlines.MIN_STALL_TIMEOUT_NANOS, STALL_GAP_FACTOR * gap);
-    if (now - a.lastProgressNanos >= stall) {
+    long stallTimeout = Math.max(AttemptDeadlines.MIN_STALL_TIMEOUT_NANOS, STALL_GAP_FACTOR * gap);
+    if (now - a.lastProgressNanos >= stallTimeout) {
       return Assessment.STALLED;
     }
-    long elapsed = now - a.lastCheckNanos;
-    if (elapsed < AttemptDeadlines.DECODE_CHECK_INTERVAL_NANOS) {
+    long sinceLastCheck = now - a.lastCheckNanos;
+    if (sinceLastCheck < AttemptDeadlines.DECODE_CHECK_INTERVAL_NANOS) {
       return Assessment.ON_TRACK;
     }
-    int tokens = q.tokensSent - a.tokensAtLastCheck;
-    boolean slow = elapsed > SLOW_GAP_FACTOR * gap * Math.max(1, tokens);
+    int newTokens = q.tokensSent - a.tokensAtLastCheck;
+    boolean slow = sinceLastCheck > SLOW_GAP_FACTOR * gap * Math.max(1, newTokens);
     a.tokensAtLastCheck = q.tokensSent;
     a.lastCheckNanos = now;
-    // The admitting node hears at once that an engine became slow or recovered.
-    long interval = a.renewedInStage ? RENEWAL_INTERVAL_NANOS : FIRST_RENEWAL_NANOS;
-    if (!slow && !a.reportedSlow && now - a.lastRenewalNanos < interval) {
+    // A change to slow, and the recovery, are reported to the admitting node at once.
+    long renewalInterval = a.renewedInStage ? RENEWAL_INTERVAL_NANOS : FIRST_RENEWAL_NANOS;
+    if (!slow && !a.reportedSlow && now - a.lastRenewalNanos < renewalInterval) {
       return Assessment.ON_TRACK;
     }
     a.renewedInStage = true;
--- a/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
@@ -8,40 +8,53 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** A request of a caller at its entry node, until its final answer. */
+/** State of a caller's request at its entry node, from its arrival to the final response. */
 final class EntryRequest {
   final GenerationRequest request;
+
+  /** Monotonic time of the arrival. */
   final long arrivedNanos;
 
   /** Upstreams that failed this request. */
-  final Set<UpstreamId> excludedUpstreams = new LinkedHashSet<>();
+  final Set<UpstreamId> excluded = new LinkedHashSet<>();
 
-  /** Cells that refused it since the last attempt that was granted. */
+  /** Cells that refused the request since the last grant. */
   final Set<String> refusedCells = new HashSet<>();
 
+  /** Attempt in progress; null between attempts. */
   @Nullable Attempt current;
+
+  /** Second attempt in parallel to the current one, in the same or a remote cell; or null. */
   @Nullable Attempt hedge;
 
-  /** Whether it waits for the permission to run as a suspect. */
+  /** Whether the request waits for the permission to run as a suspect. */
   boolean awaitsPermission;
 
-  /** Whether the permission to run as a suspect was given. */
+  /** Whether the permission to run as a suspect was granted and not used up by a crash. */
   boolean suspectRunPermitted;
 
+  /** Permission requests sent since the last WAIT verdict. */
   int permissionRequests;
+
+  /** Whether an attempt ran with the permission for a suspect. */
   boolean ranAsSuspect;
+
+  /** Whether a second prefill was requested because the first was late. */
   boolean secondPrefillRequested;
+
+  /** Whether a remote cell was chosen although this region has a cell for the model. */
   boolean remoteCellContacted;
 
-  /** Bytes taken from the cross-region budget for an ask that is not granted yet. */
+  /** Bytes acquired from the cross-region budget for a reservation request without a grant yet. */
   double acquiredCrossRegionBytes;
 
+  /** Generated tokens that were passed to the caller. */
   int tokensSent;
 
-  /** Engines that may have begun to generate the answer. */
+  /** Number of engines that may have started to generate the response. */
   int generationRuns;
 
-  /** Engines that had no room for a reservation. */
+  /** Number of times that a decode engine did not reserve a slot. */
   int engineRefusals;
 
   private int attemptCount;
@@ -51,42 +64,46 @@
     this.arrivedNanos = arrivedNanos;
   }
 
+  /** Returns the identifier of a new attempt and counts it. */
   AttemptId nextAttempt() {
     attemptCount++;
     return new AttemptId(request.id(), attemptCount);
   }
 
+  /** Returns the number of attempts so far. */
   int attemptCount() {
     return attemptCount;
   }
 
-  /** Returns the live attempt with this name, or null for one that ended or lost. */
-  @Nullable Attempt findLiveAttempt(AttemptId id) {
+  /** Returns the attempt with this identifier if it is in progress, otherwise null. */
+  @Nullable Attempt find(AttemptId id) {
     if (current != null && current.id.equals(id)) {
       return current;
     }
     return hedge != null && hedge.id.equals(id) ? hedge : null;
   }
 
+  /** Returns the tokens to prefill: the prompt and the output sent so far. */
   int promptTokens() {
     return request.promptTokens() + tokensSent;
   }
 
-  /** Returns whether one more engine may generate the answer. */
+  /** Returns whether another engine may generate the response, anew or from where it stopped. */
   boolean mayGenerateAgain() {
     return request.resumable() && generationRuns < request.maxRuns();
   }
 
-  /** Returns the tokens of the answer that memory is still planned for. */
+  /** Returns the remaining output tokens for which KV memory is planned. */
   int plannedTokens() {
     return Math.max(0, request.plannedOutputTokens() - tokensSent);
   }
 
+  /** Returns the output tokens that may still be generated. */
   int remainingTokens() {
     return Math.max(0, request.maxOutputTokens() - tokensSent);
   }
 
-  /** Forgets an attempt; the other one, if there is one, becomes the current one. */
+  /** Removes an attempt. The other attempt, if any, becomes the current one. */
   void removeAttempt(Attempt a) {
     if (a == current) {
       current = hedge;
@@ -104,6 +121,7 @@
     return b == null ? List.of(a) : List.of(a, b);
   }
 
+  /** Returns the state of the current attempt for explanations. */
   String stageName() {
     return current == null ? "no attempt" : current.state.toString();
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
@@ -2,11 +2,11 @@
 
 import org.mustardlatch.core.peer.AdmissionMessage.Outcome;
 
-/** What the failure of an upstream call means for the work that it was sent. */
+/** Consequences of a failed upstream call for the work that was sent with it. */
 final class FailureRules {
   private FailureRules() {}
 
-  /** Returns whether the upstream may still hold the work, so that it must be cancelled. */
+  /** Returns whether the upstream may still run the work, so that it must be cancelled. */
   static boolean mayStillRun(Failure failure) {
     return switch (failure) {
       case STALLED, DISCONNECTED, TIMED_OUT -> true;
@@ -14,7 +14,7 @@
     };
   }
 
-  /** Returns whether the upstream certainly did not begin the work that failed. */
+  /** Returns whether the upstream certainly did not start the work. */
   static boolean neverStarted(Failure failure) {
     return switch (failure) {
       case REFUSED, KV_EXPIRED -> true;
@@ -22,7 +22,7 @@
     };
   }
 
-  /** Returns the outcome that the admitting node is told. */
+  /** Returns the outcome to report to the admitting node. */
   static Outcome reservationOutcome(Failure failure) {
     return switch (failure) {
       case REFUSED -> Outcome.REFUSED;
--- a/core/src/main/java/org/mustardlatch/core/routing/GenerationRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/GenerationRequest.java
@@ -7,23 +7,23 @@
 import org.mustardlatch.core.model.WorkspaceId;
 
 /**
- * A generation request as the routing decisions see it.
+ * The properties of a generation request that routing decisions depend on.
  *
- * @param id the request
- * @param workspace whose limits and share apply
- * @param model the model that was asked for
+ * @param id identifier of the request
+ * @param workspace workspace whose limits and share apply
+ * @param model requested model
  * @param promptTokens length of the prompt, tokens
- * @param maxOutputTokens most tokens that may be generated
+ * @param maxOutputTokens maximum number of tokens to generate
  * @param promptBytes size of the request body, bytes
  * @param prefixBlocks hashes of the prompt's leading blocks of 256 tokens, for prefix caches
  * @param fingerprint digest of the content
  * @param firstTokenDeadlineNanos monotonic time by which the first token must arrive
- * @param finalDeadlineNanos monotonic time after which the answer is of no use
- * @param resumable whether another engine may generate the answer anew, or go on with it, after one
- *     may have begun to
- * @param maxRuns most engines that may begin to generate the answer, at least 1
- * @param plannedOutputTokens tokens of the answer that KV memory is planned for; engines preempt
- *     when answers become longer
+ * @param finalDeadlineNanos monotonic time after which the request is cancelled
+ * @param resumable whether another engine may repeat or continue the generation after one may have
+ *     started it
+ * @param maxRuns maximum number of engines that may start the generation, at least 1
+ * @param plannedOutputTokens output tokens for which KV memory is planned; engines preempt requests
+ *     whose output becomes longer
  */
 public record GenerationRequest(
     RequestId id,
@@ -39,7 +39,7 @@
     boolean resumable,
     int maxRuns,
     int plannedOutputTokens) {
-  /** Copies the list. */
+  /** Copies the list and checks {@code maxRuns}. */
   public GenerationRequest {
     prefixBlocks = List.copyOf(prefixBlocks);
     if (maxRuns < 1) {
@@ -47,7 +47,10 @@
     }
   }
 
-  /** Creates a request that may be resumed on any number of engines. */
+  /**
+   * Creates a request that may be resumed on any number of engines, with KV memory planned for all
+   * output tokens.
+   */
   public GenerationRequest(
       RequestId id,
       WorkspaceId workspace,
--- a/core/src/main/java/org/mustardlatch/core/routing/HeldSweep.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/HeldSweep.java
@@ -47,7 +47,8 @@
   }
 
   /** Emits the cancels for one engine's list. */
-  void sweep(UpstreamId upstream, List<HeldAttempt> held, RequestCoordinator own, long incarnation) {
+  void sweep(
+      UpstreamId upstream, List<HeldAttempt> held, RequestCoordinator own, long incarnation) {
     int cancels = 0;
     for (HeldAttempt h : held) {
       if (cancels < MAX_CANCELS && abandoned(h, own, incarnation)) {
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -17,16 +17,17 @@
 import org.mustardlatch.core.quarantine.CrashEvidence;
 
 /**
- * The routing decisions of one node for generation requests: as entry node for the requests of its
- * callers, and as admitting node for the cells that rendezvous hashing assigns to it.
+ * Makes the routing decisions of one node for generation requests. A node is the entry node of its
+ * callers' requests, and the admitting node of the cells that rendezvous hashing assigns to it: it
+ * admits work to the engines of these cells.
  *
  * <p>Deterministic: the same events at the same times with the same random generator lead to the
- * same commands. Not safe for use by several threads.
+ * same commands. Not thread-safe.
  */
 public final class NodeRouter implements RoutingPolicy {
   private static final String TICK_TIMER = "tick";
   private static final String CELL_TIMER = "cell";
-  // More than one, as an introducer may be joining or dying itself.
+  // More than one, because an introducer may itself have just joined or be about to fail.
   private static final int INTRODUCER_COUNT = 3;
   private static final long TICK_INTERVAL_NANOS = 100_000_000;
 
@@ -45,11 +46,11 @@
   private boolean tickTimerSet;
 
   /**
-   * Creates the decisions of a node that knows no manifest and no other node yet.
+   * Creates a router without a manifest and without other nodes.
    *
-   * @param self this node
+   * @param self host of this node
    * @param region region of this node
-   * @param incarnation number of this start of the node, at least 0; grows with every start
+   * @param incarnation number of this start of the node, at least 0; increases with every start
    * @param random source of all randomness
    */
   public NodeRouter(HostId self, RegionId region, long incarnation, RandomGenerator random) {
@@ -60,31 +61,34 @@
     this.commands = new CommandCollector(self);
     var environment = new CellAdmission.Environment(commands, random, evidence, settings);
     this.evidenceCoordinator = new EvidenceSide(commands, evidence, topology, incarnation);
-    this.admissionController = new AdmittingSide(environment, evidenceCoordinator, leavingUpstreams, topology);
-    this.requestCoordinator = new RequestCoordinator(environment, evidenceCoordinator, leavingUpstreams, region, topology);
+    this.admissionController =
+        new AdmittingSide(environment, evidenceCoordinator, leavingUpstreams, topology);
+    this.requestCoordinator =
+        new RequestCoordinator(
+            environment, evidenceCoordinator, leavingUpstreams, region, topology);
     this.orphanSweeper = new HeldSweep(commands, topology);
   }
 
   /**
-   * Returns the incarnation that upstream work must be tagged with. It rises when this node finds
-   * that it was paused so long that others may have declared it dead; membership must then announce
-   * the new one.
+   * Returns the incarnation that upstream work must be tagged with. It increases when this node
+   * detects a pause so long that others may have declared it dead; membership must then announce
+   * the new incarnation.
    */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Returns the engines whose load and held attempts this node must read as admitting node. */
+  /** Returns the engines whose load and attempts this node must poll as their admitting node. */
   public List<UpstreamId> admittedEngines() {
     return admissionController.ownedEngines();
   }
 
-  /** Returns the number of requests of this node's callers that have no final answer yet. */
+  /** Returns the number of requests of this node's callers without a final response. */
   public int openRequests() {
     return requestCoordinator.requestCount();
   }
 
-  /** Returns the number of reservations and queued requests in the cells of this node. */
+  /** Returns the number of reservations and queued requests in the cells this node admits to. */
   public int openReservations() {
     return admissionController.reservationCount() + admissionController.queuedCount();
   }
@@ -116,9 +120,12 @@
       case RoutingEvent.RequestArrived e -> requestCoordinator.requestArrived(e.request());
       case RoutingEvent.CallerDisconnected e -> requestCoordinator.callerDisconnected(e.request());
       case RoutingEvent.EngineReserved e -> requestCoordinator.engineReserved(e.attempt());
-      case RoutingEvent.EngineReservationFailed e -> requestCoordinator.engineReservationFailed(e.attempt(), e.failure());
-      case RoutingEvent.PrefillFinished e -> requestCoordinator.prefillFinished(e.attempt(), e.handle());
-      case RoutingEvent.PrefillFailed e -> requestCoordinator.prefillFailed(e.attempt(), e.failure());
+      case RoutingEvent.EngineReservationFailed e ->
+          requestCoordinator.engineReservationFailed(e.attempt(), e.failure());
+      case RoutingEvent.PrefillFinished e ->
+          requestCoordinator.prefillFinished(e.attempt(), e.handle());
+      case RoutingEvent.PrefillFailed e ->
+          requestCoordinator.prefillFailed(e.attempt(), e.failure());
       case RoutingEvent.DecodeStarted e -> requestCoordinator.decodeStarted(e.attempt());
       case RoutingEvent.TokensArrived e -> requestCoordinator.tokensArrived(e.attempt(), e.count());
       case RoutingEvent.DecodeFinished e -> requestCoordinator.decodeFinished(e.attempt());
@@ -151,7 +158,7 @@
       case LeavingNotice m -> leavingUpstreams.heard(m.upstream(), commands.now());
       case EvidenceMessage m -> evidenceCoordinator.handle(from, m);
       default -> {
-        // Other messages belong to other parts of the node.
+        // Other parts of the node handle the other messages.
       }
     }
   }
@@ -185,13 +192,15 @@
     topologyChanged();
     for (Member m : next) {
       if (before.member(m.host()) == null && isIntroducerOf(m)) {
-        leavingUpstreams.all(commands.now()).forEach(u -> commands.send(m.host(), new LeavingNotice(u)));
+        leavingUpstreams
+            .all(commands.now())
+            .forEach(u -> commands.send(m.host(), new LeavingNotice(u)));
         evidenceCoordinator.introduce(m.host());
       }
     }
   }
 
-  /** Returns whether this node is one of the few that tell a joining node what it missed. */
+  /** Returns whether this node is one of those that send earlier notices to a joining node. */
   private boolean isIntroducerOf(Member joining) {
     List<HostId> order = topology.ownersOf(joining.host().value());
     return !joining.host().equals(commands.self())
@@ -224,10 +233,13 @@
     orphanSweeper.tick();
   }
 
+  /** Discards all state that other nodes may have replaced while this node was paused. */
   private void startNewIncarnation() {
     incarnation++;
     commands.emit(
-        new RoutingCommand.SetTimer(new TimerKey(TICK_TIMER, commands.self().value()), commands.now() + TICK_INTERVAL_NANOS));
+        new RoutingCommand.SetTimer(
+            new TimerKey(TICK_TIMER, commands.self().value()),
+            commands.now() + TICK_INTERVAL_NANOS));
     admissionController.forgetAll();
     requestCoordinator.restartAfterLongPause();
     evidenceCoordinator.topologyChanged(topology, incarnation);
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Runs a routing policy on the thread of a timer service: keeps its timers and passes its other
- * commands on, all commands of one event before the next event.
+ * Runs a routing policy on the thread of a timer service. Executes timer commands itself and passes
+ * all other commands on; all commands of one event are executed before the next event.
  */
 public final class PolicyRunner {
   private final TimerService timers;
@@ -22,10 +22,10 @@
   /**
    * Creates a runner.
    *
-   * @param timers its thread is the only one that may call {@link #handle}
-   * @param policy the decisions
-   * @param commands receives every command that does not concern a timer; must not call back into
-   *     {@link #handle}
+   * @param timers timer service whose thread is the only one that may call {@link #handle}
+   * @param policy policy that receives the events
+   * @param commands receives every command that does not concern a timer; must not call {@link
+   *     #handle}
    */
   public PolicyRunner(
       TimerService timers, RoutingPolicy policy, Consumer<RoutingCommand> commands) {
@@ -34,7 +34,7 @@
     this.commands = commands;
   }
 
-  /** Passes an event to the policy and carries out what follows from it. */
+  /** Passes an event to the policy and executes the commands that it emits. */
   public void handle(RoutingEvent event) {
     List<RoutingCommand> emitted = new ArrayList<>();
     policy.handle(event, timers.nanos(), emitted::add);
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -23,22 +23,27 @@
 import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
 import org.mustardlatch.core.routing.RequestTable.LiveAttempt;
 
-/** The requests of this node's callers, from arrival to the one final answer. */
+/**
+ * Coordinates the requests of this node's callers, from arrival to the single final response.
+ * Handles the responses of admitting nodes, the events of upstream calls and the timers of
+ * requests, and decides about retries, hedges and refusals. Called by {@link NodeRouter} on its
+ * thread.
+ */
 final class RequestCoordinator implements AttemptStarter.RequestCallbacks {
   static final String TIMER_KIND = "request";
 
-  /** KV caches with less time left than this are not given to another decode engine. */
+  /** A KV cache that expires sooner than this is not reused on another decode engine. */
   private static final long MIN_KV_TIME_LEFT_NANOS = 150_000_000;
 
-  // All nodes together stay within some tens of extra attempts when each spends what it saved.
+  // Limits the fleet to some tens of extra attempts when every node spends its saved budget at once.
   private static final double FLEET_RETRY_BUDGET = 48;
-  private static final int MIN_NODES_SHARING_BUDGET = 8;
-  private static final double MAX_NODE_RETRY_BUDGET = FLEET_RETRY_BUDGET / MIN_NODES_SHARING_BUDGET;
+  private static final int MIN_NODES = 8;
+  private static final double MAX_NODE_RETRY_BUDGET = FLEET_RETRY_BUDGET / MIN_NODES;
   private static final double INITIAL_RETRY_BUDGET = 4;
 
   private static final int MAX_ENGINE_REFUSALS = 6;
   static final int MAX_ATTEMPTS = 8;
-  static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
+  static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final CommandCollector commands;
   private final NodeSettings settings;
@@ -47,11 +52,12 @@
   private final LeavingUpstreams leavingUpstreams;
   private final RegionId region;
   private final RetryAfterJitter retryAfterJitter;
-  private final CellChooser chooser;
+  private final CellChooser cellChooser;
   private final AttemptDriver driver;
   private final AttemptDeadlines deadlines;
   private final AttemptStarter starter;
-  private final RepeatBudget retryBudget = new RepeatBudget(INITIAL_RETRY_BUDGET, MAX_NODE_RETRY_BUDGET);
+  private final RepeatBudget retryBudget =
+      new RepeatBudget(INITIAL_RETRY_BUDGET, MAX_NODE_RETRY_BUDGET);
   private final RepeatBudget hedgeBudget = new RepeatBudget(1, 5);
   private final CrossRegionPolicy crossRegionPolicy;
   private final RequestTable requests = new RequestTable();
@@ -60,23 +66,25 @@
 
   RequestCoordinator(
       CellAdmission.Environment env,
-      EvidenceSide evidenceSide,
-      LeavingUpstreams leaving,
+      EvidenceSide evidenceCoordinator,
+      LeavingUpstreams leavingUpstreams,
       RegionId region,
       Topology topology) {
     this.commands = env.effects();
     this.settings = env.settings();
     this.evidence = env.evidence();
-    this.evidenceCoordinator = evidenceSide;
-    this.leavingUpstreams = leaving;
+    this.evidenceCoordinator = evidenceCoordinator;
+    this.leavingUpstreams = leavingUpstreams;
     this.region = region;
     this.deadlines = new AttemptDeadlines(settings, region);
     this.retryAfterJitter = new RetryAfterJitter(env.random());
-    this.chooser = new CellChooser(region, env.random());
-    this.crossRegionPolicy = new CrossRegionPolicy(commands, settings, chooser);
+    this.cellChooser = new CellChooser(region, env.random());
+    this.crossRegionPolicy = new CrossRegionPolicy(commands, settings, cellChooser);
     this.topology = topology;
     this.driver = new AttemptDriver(commands, region, topology);
-    this.starter = new AttemptStarter(env, evidenceSide, chooser, crossRegionPolicy, driver, region, this);
+    this.starter =
+        new AttemptStarter(
+            env, evidenceCoordinator, cellChooser, crossRegionPolicy, driver, region, this);
   }
 
   int requestCount() {
@@ -95,9 +103,10 @@
     topology = next;
     driver.topologyChanged(next);
     starter.topologyChanged(next);
-    chooser.retainCells(next);
-    // Below one unit nothing could ever be repeated.
-    retryBudget.limit(Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES_SHARING_BUDGET, next.memberCount())));
+    cellChooser.retainCells(next);
+    // A budget limit below one unit would never permit a retry.
+    retryBudget.limit(
+        Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
       crossRegionPolicy.configure(manifest.link(), next.membersIn(region));
@@ -117,9 +126,9 @@
     }
     Model model = topology.model(request.model());
     if (draining) {
-      refuse(q, ErrorCode.DRAINING, "this node is draining; the request did not run", DEFAULT_RETRY_AFTER);
+      refuse(q, ErrorCode.DRAINING, "this node is draining; the request did not run", RETRY_AFTER);
     } else if (settings.manifest() == null) {
-      refuse(q, ErrorCode.NOT_READY, "no manifest is in force yet", DEFAULT_RETRY_AFTER);
+      refuse(q, ErrorCode.NOT_READY, "no manifest is in force yet", RETRY_AFTER);
     } else if (model == null) {
       refuse(q, ErrorCode.UNKNOWN_MODEL, "no model " + request.model(), Duration.ZERO);
     } else if (request.promptTokens() > model.maxPromptTokens()) {
@@ -141,12 +150,12 @@
     }
   }
 
-  // ---- answers of admitting nodes ----
+  // ---- Responses of admitting nodes ----
 
-  /** Withdraws the ask of an attempt that is not needed because the other one was granted. */
+  /** Cancels the other attempt if its reservation has not been granted. */
   private void cancelOtherReservationRequest(EntryRequest q, Attempt granted) {
     Attempt other = granted == q.current ? q.hedge : q.current;
-    if (other != null && !other.isGranted()) {
+    if (other != null && !other.granted()) {
       driver.cancel(other, Outcome.CANCELLED, false);
       q.current = granted;
       q.hedge = null;
@@ -155,25 +164,26 @@
   }
 
   void recordSummary(CellSummary summary) {
-    chooser.recordSummary(summary, commands.now());
+    cellChooser.recordSummary(summary, commands.now());
   }
 
   void reservationGranted(HostId from, ReserveGranted grant) {
-    chooser.recordSummary(grant.summary(), commands.now());
-    if (!(requests.findLiveAttempt(grant.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
+    cellChooser.recordSummary(grant.summary(), commands.now());
+    if (!(requests.find(grant.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
       driver.declineGrant(from, grant);
       return;
     }
-    if (a.isGranted()) {
+    if (a.granted()) {
       if (!from.equals(a.admittingNode)) {
         driver.declineGrant(from, grant);
       }
       return;
     }
     driver.recordResponse(a);
-    boolean prefillLeaves = a.inheritedKv == null && leavingUpstreams.contains(grant.prefill(), commands.now());
-    if (prefillLeaves || leavingUpstreams.contains(grant.decode(), commands.now())) {
-      q.excludedUpstreams.add(prefillLeaves ? grant.prefill() : grant.decode());
+    boolean prefillLeaving =
+        a.inheritedKv == null && leavingUpstreams.contains(grant.prefill(), commands.now());
+    if (prefillLeaving || leavingUpstreams.contains(grant.decode(), commands.now())) {
+      q.excluded.add(prefillLeaving ? grant.prefill() : grant.decode());
       commands.explain(q.request.id(), "leaving_upstream", "declined a grant on " + grant.decode());
       driver.declineGrant(from, grant);
       driver.repeatReservationRequest(q, a);
@@ -188,29 +198,29 @@
     updateTimer(q);
   }
 
-  void reservationQueued(HostId from, ReserveQueued answer) {
-    chooser.recordSummary(answer.summary(), commands.now());
-    if (requests.findLiveAttempt(answer.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a)
-        && !a.isGranted()) {
+  void reservationQueued(HostId from, ReserveQueued response) {
+    cellChooser.recordSummary(response.summary(), commands.now());
+    if (requests.find(response.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && !a.granted()) {
       driver.recordResponse(a);
       a.lastProgressNanos = commands.now();
       if (a.state != Attempt.State.QUEUED) {
         a.enterState(Attempt.State.QUEUED, commands.now());
         commands.explain(q.request.id(), "queued", "at " + from);
-        starter.requestRemoteHedge(q, a, answer.predictedWaitNanos());
+        starter.requestRemoteHedge(q, a, response.predictedWaitNanos());
       }
       updateTimer(q);
     }
   }
 
-  void reservationRefused(ReserveRefused answer) {
-    chooser.recordSummary(answer.summary(), commands.now());
-    if (!(requests.findLiveAttempt(answer.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))
-        || a.isGranted()) {
+  void reservationRefused(ReserveRefused response) {
+    cellChooser.recordSummary(response.summary(), commands.now());
+    if (!(requests.find(response.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))
+        || a.granted()) {
       return;
     }
     driver.recordResponse(a);
-    Duration after = Duration.ofNanos(answer.retryAfterNanos());
+    Duration retryAfter = Duration.ofNanos(response.retryAfterNanos());
     if (!a.cell.region().equals(region)) {
       crossRegionPolicy.releaseBudget(q);
     }
@@ -224,34 +234,34 @@
       q.refusedCells.add(a.cell.name());
       return;
     }
-    if (answer.code() == ErrorCode.REQUEST_QUARANTINED) {
+    if (response.code() == ErrorCode.REQUEST_QUARANTINED) {
       starter.refuseQuarantined(q);
       return;
     }
-    commands.explain(q.request.id(), "cell_refused", refusalDetail(a, answer));
+    commands.explain(q.request.id(), "cell_refused", refusalDetail(a, response));
     if (a.inheritedKv != null) {
       commands.emit(new RoutingCommand.ReleaseKv(a.inheritedKv));
       retry(q, Failure.KV_EXPIRED);
       return;
     }
-    starter.handleCellRefusal(q, a.cell.name(), answer.code(), after);
+    starter.handleCellRefusal(q, a.cell.name(), response.code(), retryAfter);
   }
 
-  private static String refusalDetail(Attempt a, ReserveRefused answer) {
-    CellSummary s = answer.summary();
+  private static String refusalDetail(Attempt a, ReserveRefused response) {
+    CellSummary s = response.summary();
     return a.cell.name()
         + " "
-        + answer.code().wireName()
+        + response.code().wireName()
         + " predicted_wait_ms="
         + s.predictedWaitNanos() / 1_000_000
         + " free_slots="
         + s.freeSlots();
   }
 
-  // ---- events of upstreams ----
+  // ---- Events of upstreams ----
 
   void engineReserved(AttemptId id) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
         && a.state == Attempt.State.RESERVING) {
       driver.startPrefill(a);
       updateTimer(q);
@@ -259,14 +269,14 @@
   }
 
   void engineReservationFailed(AttemptId id, Failure failure) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
         && a.state == Attempt.State.RESERVING) {
       attemptFailed(q, a, a.decodeEngine, failure);
     }
   }
 
   void prefillFinished(AttemptId id, KvHandle handle) {
-    if (!(requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a))
+    if (!(requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a))
         || a.state != Attempt.State.PREFILL) {
       commands.emit(new RoutingCommand.ReleaseKv(handle));
       return;
@@ -278,7 +288,7 @@
       q.current = null;
       String detail = "prefill ended after the first-token deadline";
       commands.explain(q.request.id(), "prefill_late", detail);
-      refuse(q, ErrorCode.DEADLINE_EXCEEDED, detail, DEFAULT_RETRY_AFTER);
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, detail, RETRY_AFTER);
       return;
     }
     if (commands.now() >= handle.expiresNanos()) {
@@ -290,7 +300,7 @@
     updateTimer(q);
   }
 
-  /** Makes the attempt the only one; the first prefill to end wins over its hedge. */
+  /** Cancels the other attempt, if any; the first of two prefills to end is used. */
   private void cancelOtherAttempt(EntryRequest q, Attempt winner) {
     Attempt other = winner == q.current ? q.hedge : q.current;
     if (other != null) {
@@ -302,14 +312,14 @@
   }
 
   void prefillFailed(AttemptId id, Failure failure) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
         && a.state == Attempt.State.PREFILL) {
       attemptFailed(q, a, a.prefillEngine, failure);
     }
   }
 
   void decodeStarted(AttemptId id) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
         && a.state == Attempt.State.TRANSFER) {
       a.enterState(Attempt.State.DECODE, commands.now());
       DecodeProgressMonitor.start(q, a, commands.now());
@@ -319,7 +329,7 @@
   }
 
   void tokensArrived(AttemptId id, int count) {
-    if (!(requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
+    if (!(requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
       return;
     }
     if (a.state == Attempt.State.TRANSFER) {
@@ -330,7 +340,7 @@
   }
 
   void decodeFinished(AttemptId id) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a) && a.isGranted()) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a) && a.granted()) {
       complete(q, a);
     }
   }
@@ -342,7 +352,8 @@
     String detail =
         "attempt " + a.id.number() + " on " + a.decodeEngine + ", " + q.tokensSent + " tokens";
     commands.explain(q.request.id(), "completed", detail);
-    if (q.ranAsSuspect || evidence.standing(q.request.fingerprint(), commands.now()) == Standing.SUSPECT) {
+    if (q.ranAsSuspect
+        || evidence.standing(q.request.fingerprint(), commands.now()) == Standing.SUSPECT) {
       evidenceCoordinator.cleared(q.request.fingerprint());
     }
     commands.emit(new RoutingCommand.Complete(q.request.id()));
@@ -350,8 +361,8 @@
   }
 
   void decodeFailed(AttemptId id, Failure failure) {
-    if (requests.findLiveAttempt(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
-        && a.isGranted()
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.granted()
         && a.state != Attempt.State.PREFILL) {
       if (q.remainingTokens() == 0) {
         complete(q, a);
@@ -361,25 +372,28 @@
     }
   }
 
-  /** Ends an attempt whose upstream failed and decides how the request goes on. */
-  private void attemptFailed(EntryRequest q, Attempt a, @Nullable UpstreamId upstream, Failure failure) {
-    commands.explain(q.request.id(), "attempt_failed", failure + " on " + upstream + " in " + a.state);
+  /** Ends an attempt whose upstream call failed, and retries or refuses the request. */
+  private void attemptFailed(
+      EntryRequest q, Attempt a, @Nullable UpstreamId upstream, Failure failure) {
+    commands.explain(
+        q.request.id(), "attempt_failed", failure + " on " + upstream + " in " + a.state);
     if (upstream != null && failure != Failure.KV_EXPIRED) {
-      q.excludedUpstreams.add(upstream);
+      q.excluded.add(upstream);
     }
-    boolean ran = a.state.compareTo(Attempt.State.TRANSFER) >= 0 && !FailureRules.neverStarted(failure);
-    q.generationRuns += ran ? 1 : 0;
+    boolean mayHaveRun =
+        a.state.compareTo(Attempt.State.TRANSFER) >= 0 && !FailureRules.neverStarted(failure);
+    q.generationRuns += mayHaveRun ? 1 : 0;
     KvHandle handle = a.state == Attempt.State.TRANSFER ? a.kvHandle : null;
-    boolean reuse =
+    boolean reuseKv =
         handle != null
-            && (!ran || q.mayGenerateAgain())
+            && (!mayHaveRun || q.mayGenerateAgain())
             && failure != Failure.KV_EXPIRED
             && handle.expiresNanos() - commands.now() >= MIN_KV_TIME_LEFT_NANOS
             && q.attemptCount() < MAX_ATTEMPTS;
     if (FailureRules.mayStillRun(failure)) {
-      driver.cancel(a, Outcome.FAILED, reuse);
+      driver.cancel(a, Outcome.FAILED, reuseKv);
     } else {
-      if (handle != null && !reuse) {
+      if (handle != null && !reuseKv) {
         commands.emit(new RoutingCommand.ReleaseKv(handle));
       }
       driver.releaseReservation(a, FailureRules.reservationOutcome(failure));
@@ -393,29 +407,29 @@
     q.hedge = null;
     if (q.current != null) {
       updateTimer(q);
-    } else if (reuse && handle != null && retryBudget.take()) {
+    } else if (reuseKv && handle != null && retryBudget.take()) {
       commands.explain(q.request.id(), "decode_reassigned", "KV cache of " + handle.source());
       starter.requestReservation(q, a.cell, handle);
     } else if (a.state == Attempt.State.RESERVING) {
       retryReservation(q);
-    } else if (ran && !q.mayGenerateAgain()) {
+    } else if (mayHaveRun && !q.mayGenerateAgain()) {
       commands.explain(q.request.id(), "not_repeatable", "runs=" + q.generationRuns);
       refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, Duration.ZERO);
     } else {
-      if (reuse && handle != null) {
+      if (reuseKv && handle != null) {
         commands.emit(new RoutingCommand.ReleaseKv(handle));
       }
       retry(q, failure);
     }
   }
 
-  /** Goes on after an engine had no room. Nothing was spent, so the retry budget is not touched. */
+  /** Starts a new attempt without charging the retry budget, as no engine time was spent. */
   private void retryReservation(EntryRequest q) {
     q.engineRefusals++;
     if (q.engineRefusals <= MAX_ENGINE_REFUSALS) {
       starter.startAttempt(q);
     } else {
-      refuse(q, ErrorCode.OVERLOADED, "no engine has room", retryAfterJitter.drawRetryAfter(2, 1));
+      refuse(q, ErrorCode.OVERLOADED, "no engine has room", retryAfterJitter.draw(2, 1));
     }
   }
 
@@ -431,6 +445,7 @@
     }
   }
 
+  /** Starts a new attempt if the deadlines and the retry budget permit, or refuses the request. */
   private void retry(EntryRequest q, Failure failure) {
     long now = commands.now();
     boolean inTime =
@@ -438,11 +453,11 @@
             ? now < q.request.finalDeadlineNanos()
             : now < q.request.firstTokenDeadlineNanos();
     if (!inTime) {
-      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "failed too late to retry: " + failure, DEFAULT_RETRY_AFTER);
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "failed too late to retry: " + failure, RETRY_AFTER);
     } else if (q.attemptCount() >= MAX_ATTEMPTS || !retryBudget.take()) {
       commands.explain(q.request.id(), "retry_budget", "attempts=" + q.attemptCount());
-      Duration after = retryAfterJitter.drawRetryAfter(2, 1);
-      refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, after);
+      Duration retryAfter = retryAfterJitter.draw(2, 1);
+      refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, retryAfter);
     } else {
       String rule = q.tokensSent > 0 ? "continued" : "retried";
       commands.explain(q.request.id(), rule, "after " + failure + ", tokens=" + q.tokensSent);
@@ -450,23 +465,21 @@
     }
   }
 
-  void permissionReceived(RunPermission answer) {
-    EntryRequest q = requests.findByIdText(answer.attempt());
+  void permissionReceived(RunPermission response) {
+    EntryRequest q = requests.findByIdText(response.attempt());
     if (q != null) {
-      starter.handleVerdict(q, answer.verdict());
+      starter.handleVerdict(q, response.verdict());
     }
   }
 
-  // ---- time ----
-
   void timerFired(String subject) {
     EntryRequest q = requests.findByIdText(subject);
     if (q != null) {
-      check(q);
+      checkRequest(q);
     }
   }
 
-  private void check(EntryRequest q) {
+  private void checkRequest(EntryRequest q) {
     long now = commands.now();
     if (now >= q.request.finalDeadlineNanos()) {
       refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
@@ -474,7 +487,7 @@
     }
     if (q.awaitsPermission) {
       if (q.tokensSent == 0 && now >= q.request.firstTokenDeadlineNanos()) {
-        refuse(q, ErrorCode.OVERLOADED, "the same request is being examined", DEFAULT_RETRY_AFTER);
+        refuse(q, ErrorCode.OVERLOADED, "the same request is being examined", RETRY_AFTER);
       } else {
         starter.requestPermission(q);
       }
@@ -485,8 +498,8 @@
       return;
     }
     for (Attempt a : q.liveAttempts()) {
-      if (q.findLiveAttempt(a.id) == a) {
-        check(q, a);
+      if (q.find(a.id) == a) {
+        checkAttempt(q, a);
       }
     }
     if (requests.get(q.request.id()) == q) {
@@ -494,11 +507,11 @@
     }
   }
 
-  private void check(EntryRequest q, Attempt a) {
+  private void checkAttempt(EntryRequest q, Attempt a) {
     long now = commands.now();
     switch (a.state) {
       case ASKING -> {
-        if (now - a.lastReservationRequestNanos >= deadlines.responseTimeoutNanos(a)) {
+        if (now - a.lastRequestNanos >= deadlines.responseTimeoutNanos(a)) {
           contactNextNode(q, a);
         }
       }
@@ -511,7 +524,9 @@
       case PREFILL -> checkPrefill(q, a);
       case TRANSFER -> {
         KvHandle h = a.kvHandle;
-        if (h != null && q.mayGenerateAgain() && now >= AttemptDeadlines.transferDeadlineNanos(a, h)) {
+        if (h != null
+            && q.mayGenerateAgain()
+            && now >= AttemptDeadlines.transferDeadlineNanos(a, h)) {
           attemptFailed(q, a, a.decodeEngine, Failure.STALLED);
         }
       }
@@ -520,7 +535,7 @@
           case ON_TRACK -> {}
           case RENEWAL_DUE -> driver.renewReservation(q, a, Stage.DECODE);
           case STALLED -> {
-            // Silence is no proof that the engine stopped; only work that may be repeated moves on.
+            // A silent engine may still be running; only work that may be repeated is moved.
             if (q.mayGenerateAgain()) {
               attemptFailed(q, a, a.decodeEngine, Failure.STALLED);
             }
@@ -530,6 +545,7 @@
     }
   }
 
+  /** Contacts the next admitting node, or treats the cell as having refused if there is none. */
   private void contactNextNode(EntryRequest q, Attempt a) {
     if (driver.contactNextNode(q, a)) {
       a.enterState(Attempt.State.ASKING, commands.now());
@@ -542,18 +558,20 @@
     }
     q.current = null;
     commands.explain(q.request.id(), "no_admitting_node", "cell=" + a.cell.name());
-    starter.handleCellRefusal(q, a.cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, DEFAULT_RETRY_AFTER);
+    starter.handleCellRefusal(q, a.cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, RETRY_AFTER);
   }
 
   private void checkQueued(EntryRequest q, Attempt a) {
     long now = commands.now();
     if (q.tokensSent == 0 && now >= q.request.firstTokenDeadlineNanos()) {
-      commands.explain(q.request.id(), "queue_too_long", "first-token deadline passed in the queue");
-      Duration after = retryAfterJitter.drawRetryAfter(now - q.arrivedNanos, now - q.arrivedNanos);
-      refuse(q, ErrorCode.OVERLOADED, "no engine became free in time", after);
-    } else if (a.lastReservationRequestNanos > a.lastProgressNanos && now - a.lastReservationRequestNanos >= deadlines.responseTimeoutNanos(a)) {
+      commands.explain(
+          q.request.id(), "queue_too_long", "first-token deadline passed in the queue");
+      Duration retryAfter = retryAfterJitter.draw(now - q.arrivedNanos, now - q.arrivedNanos);
+      refuse(q, ErrorCode.OVERLOADED, "no engine became free in time", retryAfter);
+    } else if (a.lastRequestNanos > a.lastProgressNanos
+        && now - a.lastRequestNanos >= deadlines.responseTimeoutNanos(a)) {
       contactNextNode(q, a);
-    } else if (now - a.lastReservationRequestNanos >= AttemptDeadlines.QUEUE_CHECK_INTERVAL_NANOS) {
+    } else if (now - a.lastRequestNanos >= AttemptDeadlines.QUEUE_CHECK_INTERVAL_NANOS) {
       driver.repeatReservationRequest(q, a);
     }
   }
@@ -562,7 +580,7 @@
     long now = commands.now();
     if (now > deadlines.firstTokenCutoffNanos(q, a)) {
       commands.explain(q.request.id(), "prefill_late", "cancelled before decode");
-      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "prefill took too long", DEFAULT_RETRY_AFTER);
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "prefill took too long", RETRY_AFTER);
     } else if (!a.renewedInStage && now >= deadlines.latePrefillNanos(a)) {
       a.renewedInStage = true;
       driver.renewReservation(q, a, Stage.PREFILL);
@@ -577,14 +595,14 @@
     }
   }
 
-  /** Asks for another prefill engine; the late prefill is cancelled when one is granted. */
+  /** Requests another prefill engine. The late prefill is cancelled when the grant arrives. */
   private void movePrefill(EntryRequest q, Attempt a) {
     if (!q.secondPrefillRequested && a.prefillEngine != null && retryBudget.take()) {
       requestSecondPrefill(q, a, "late_prefill_elsewhere");
     }
   }
 
-  /** Starts a second attempt for a late prefill when another engine can still be in time. */
+  /** Starts a second attempt in parallel to a late prefill, if the hedge budget permits. */
   private void hedgePrefill(EntryRequest q, Attempt a) {
     if (!q.secondPrefillRequested && a.prefillEngine != null && hedgeBudget.take()) {
       requestSecondPrefill(q, a, "hedged");
@@ -594,7 +612,7 @@
   private void requestSecondPrefill(EntryRequest q, Attempt late, String rule) {
     q.secondPrefillRequested = true;
     if (late.prefillEngine != null) {
-      q.excludedUpstreams.add(late.prefillEngine);
+      q.excluded.add(late.prefillEngine);
     }
     Attempt h = new Attempt(q.nextAttempt(), late.cell, null);
     h.enterState(Attempt.State.ASKING, commands.now());
@@ -604,7 +622,7 @@
     }
   }
 
-  /** Gives up a late prefill for one elsewhere, which wastes less than running it twice. */
+  /** Cancels a late prefill that was moved, which wastes less than running both prefills. */
   private void cancelLatePrefill(EntryRequest q, Attempt granted) {
     Attempt late = q.current;
     if (granted == q.hedge && late != null && !settings.tuning().hedges()) {
@@ -618,19 +636,17 @@
   @Override
   public void updateTimer(EntryRequest q) {
     if (q.liveAttempts().isEmpty()) {
-      // It waits for a permission or for the end of a pause, which set their own timer.
+      // Waiting for a permission or for the delay after a pause, which set their own timers.
       return;
     }
-    long at = q.request.finalDeadlineNanos();
+    long nextCheck = q.request.finalDeadlineNanos();
     for (Attempt a : q.liveAttempts()) {
-      at = Math.min(at, deadlines.nextCheckNanos(q, a, commands.now()));
+      nextCheck = Math.min(nextCheck, deadlines.nextCheckNanos(q, a, commands.now()));
     }
-    commands.setTimer(TIMER_KIND, q.request.id().value(), Math.max(at, commands.now() + 1));
+    commands.setTimer(TIMER_KIND, q.request.id().value(), Math.max(nextCheck, commands.now() + 1));
   }
 
-  // ---- ends ----
-
-  /** Cancels all attempts, which other nodes may have reclaimed, and starts afresh. */
+  /** Replaces all attempts, which other nodes may have reclaimed during the pause. */
   void restartAfterLongPause() {
     starter.delayNewAttempts();
     for (EntryRequest q : requests.snapshot()) {
@@ -640,21 +656,21 @@
       q.current = null;
       q.hedge = null;
       commands.explain(q.request.id(), "fenced", "this node was paused");
-      boolean late = q.tokensSent == 0 && commands.now() >= q.request.firstTokenDeadlineNanos();
-      if (late) {
-        refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the node was paused", DEFAULT_RETRY_AFTER);
+      boolean expired = q.tokensSent == 0 && commands.now() >= q.request.firstTokenDeadlineNanos();
+      if (expired) {
+        refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the node was paused", RETRY_AFTER);
       } else if (!q.awaitsPermission) {
         starter.startAttempt(q);
       }
     }
   }
 
-  /** Replaces the asks that were made before a pause, so that old grants are not used. */
+  /** Replaces reservation requests from before the pause, so that old grants are not used. */
   void restartAfterShortPause() {
     starter.delayNewAttempts();
     for (EntryRequest q : requests.snapshot()) {
       for (Attempt a : q.liveAttempts()) {
-        if (!a.isGranted() && a.inheritedKv == null) {
+        if (!a.granted() && a.inheritedKv == null) {
           driver.cancel(a, Outcome.CANCELLED, false);
           q.removeAttempt(a);
         }
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
@@ -8,14 +8,14 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.RequestId;
 
-/** The requests of this node that have no final answer yet. */
+/** Requests of this node's callers that have no final response yet, by identifier. */
 final class RequestTable {
   private final Map<RequestId, EntryRequest> requests = new HashMap<>();
 
-  /** A live attempt with its request. */
+  /** An attempt in progress with its request. */
   record LiveAttempt(EntryRequest request, Attempt attempt) {}
 
-  /** Adds a request; returns null when there is one with this name already. */
+  /** Adds a request; returns null if there already is one with its identifier. */
   @Nullable EntryRequest add(GenerationRequest request, long now) {
     if (requests.containsKey(request.id())) {
       return null;
@@ -33,31 +33,35 @@
     return requests.get(id);
   }
 
-  /** Returns the request with this name, or null; any text may be given. */
+  /** Returns the request with this identifier, or null; the text need not be a valid identifier. */
   @Nullable EntryRequest findByIdText(String name) {
     try {
       return requests.get(new RequestId(name));
     } catch (IllegalArgumentException e) {
-      // Engines may report names that are none of ours.
+      // Engines may report attempts that this router did not start.
       return null;
     }
   }
 
-  /** Returns the attempt if it is still live, or null for one that ended or lost. */
-  @Nullable LiveAttempt findLiveAttempt(AttemptId id) {
+  /** Returns the attempt with its request if it is in progress, otherwise null. */
+  @Nullable LiveAttempt find(AttemptId id) {
     EntryRequest q = requests.get(id.request());
-    Attempt a = q == null ? null : q.findLiveAttempt(id);
+    Attempt a = q == null ? null : q.find(id);
     return q == null || a == null ? null : new LiveAttempt(q, a);
   }
 
-  /** Returns whether an attempt is live, by the name that engines know it by. */
+  /**
+   * Returns whether an attempt is in progress.
+   *
+   * @param attempt identifier of the attempt as engines report it
+   */
   boolean hasLiveAttempt(String attempt) {
     int dot = attempt.lastIndexOf('.');
     EntryRequest q = dot <= 0 ? null : findByIdText(attempt.substring(0, dot));
     return q != null && q.liveAttempts().stream().anyMatch(a -> a.id.toString().equals(attempt));
   }
 
-  /** Returns a copy that stays valid while requests end. */
+  /** Returns a copy of the requests, so that requests may be removed during an iteration. */
   List<EntryRequest> snapshot() {
     return new ArrayList<>(requests.values());
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/RetryAfterJitter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RetryAfterJitter.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Draws {@code Retry-After} times from a range that grows with the excess load. */
+/**
+ * Draws random {@code Retry-After} durations, so that refused callers do not return at the same
+ * time. The range grows with the excess load.
+ */
 final class RetryAfterJitter {
   private static final long MIN_RETRY_AFTER_NANOS = 500_000_000;
   private static final long MAX_RANGE_NANOS = 30_000_000_000L;
@@ -15,12 +18,12 @@
   }
 
   /**
-   * Returns a time after which to come back.
+   * Returns the duration after which the caller may send the request again.
    *
-   * @param waitNanos predicted wait of a request that is refused now
-   * @param budgetNanos wait that would have been acceptable
+   * @param waitNanos predicted wait of the refused request, nanoseconds
+   * @param budgetNanos longest acceptable wait, nanoseconds
    */
-  Duration drawRetryAfter(long waitNanos, long budgetNanos) {
+  Duration draw(long waitNanos, long budgetNanos) {
     double excess = Math.max(1, (double) waitNanos / Math.max(1, budgetNanos));
     double range = Math.min(MAX_RANGE_NANOS, MIN_RETRY_AFTER_NANOS * (1 + 2 * excess));
     return Duration.ofNanos(MIN_RETRY_AFTER_NANOS + (long) (random.nextDouble() * range));
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
@@ -8,12 +8,12 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** Something that the routing decisions of a node want done. */
+/** An action that a {@link RoutingPolicy} requests from the node that runs it. */
 public sealed interface RoutingCommand {
   /**
-   * Reserve a slot and KV memory at the engine that is to decode, before a prefill is spent.
+   * Reserve a slot and KV memory on the decode engine before the prefill is started.
    *
-   * @param tokens KV memory to reserve, tokens
+   * @param tokens number of tokens to reserve KV memory for
    */
   record ReserveEngine(AttemptId attempt, UpstreamId upstream, int tokens)
       implements RoutingCommand {}
@@ -24,45 +24,46 @@
   /**
    * Start the decode of an attempt.
    *
-   * @param resumeFrom tokens that the caller already has; the engine continues after them
+   * @param resumeFrom number of tokens that the caller already has; the engine continues after them
    */
   record StartDecode(AttemptId attempt, UpstreamId upstream, KvHandle handle, int resumeFrom)
       implements RoutingCommand {}
 
-  /** Cancel an attempt on an upstream until the upstream acknowledges it. */
+  /** Cancel an attempt on an upstream; repeated until the upstream acknowledges it. */
   record CancelAttempt(AttemptId attempt, UpstreamId upstream) implements RoutingCommand {}
 
-  /** Cancel what an engine holds for a node that is gone. */
-  record CancelOrphanedAttempt(HeldAttempt attempt, UpstreamId upstream) implements RoutingCommand {}
+  /** Cancel an attempt that an engine runs for a node incarnation that no longer exists. */
+  record CancelOrphanedAttempt(HeldAttempt attempt, UpstreamId upstream)
+      implements RoutingCommand {}
 
-  /** Tell a prefill engine that its KV cache is not needed any more. */
+  /** Release a KV cache that a prefill engine retains. */
   record ReleaseKv(KvHandle handle) implements RoutingCommand {}
 
   /** Send a message to another node. */
   record SendPeerMessage(HostId to, PeerMessage message) implements RoutingCommand {}
 
   /**
-   * Give the caller its final answer: an error.
+   * Send the caller an error as the final response.
    *
-   * @param retryAfter when to come back; zero when coming back is of no use
+   * @param retryAfter duration after which the caller may retry; zero if a retry cannot succeed
    */
   record Refuse(RequestId request, ErrorCode code, String detail, Duration retryAfter)
       implements RoutingCommand {}
 
-  /** Give the caller the end of its stream. */
+  /** End the caller's stream successfully. */
   record Complete(RequestId request) implements RoutingCommand {}
 
-  /** Send {@link RoutingEvent.TimerFired} at a monotonic time. */
+  /** Deliver {@link RoutingEvent.TimerFired} at a monotonic time; replaces an earlier timer. */
   record SetTimer(TimerKey key, long atNanos) implements RoutingCommand {}
 
-  /** Withdraw a timer. */
+  /** Cancel a timer. */
   record CancelTimer(TimerKey key) implements RoutingCommand {}
 
   /**
-   * Record why something was decided.
+   * Record the reason for a decision.
    *
    * @param rule stable name of the rule
-   * @param detail the figures that it used
+   * @param detail values that the rule used
    */
   record Explain(RequestId request, String rule, String detail) implements RoutingCommand {}
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
@@ -8,27 +8,27 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** Something that happened and that the routing decisions of a node must hear about. */
+/** An event that a {@link RoutingPolicy} handles. */
 public sealed interface RoutingEvent {
   /** A caller sent a generation request to this node. */
   record RequestArrived(GenerationRequest request) implements RoutingEvent {}
 
-  /** The caller of a request is gone. */
+  /** The caller of a request disconnected. */
   record CallerDisconnected(RequestId request) implements RoutingEvent {}
 
   /** The decode engine reserved a slot and memory for an attempt. */
   record EngineReserved(AttemptId attempt) implements RoutingEvent {}
 
-  /** The decode engine did not reserve anything for an attempt. */
+  /** The decode engine refused or failed to reserve a slot and memory for an attempt. */
   record EngineReservationFailed(AttemptId attempt, Failure failure) implements RoutingEvent {}
 
-  /** A prefill ended and its KV cache can be fetched. */
+  /** A prefill completed and its KV cache can be fetched. */
   record PrefillFinished(AttemptId attempt, KvHandle handle) implements RoutingEvent {}
 
   /** A prefill failed. */
   record PrefillFailed(AttemptId attempt, Failure failure) implements RoutingEvent {}
 
-  /** The decode engine has the KV cache and holds a slot for the attempt. */
+  /** The decode engine has fetched the KV cache and occupies a slot for the attempt. */
   record DecodeStarted(AttemptId attempt) implements RoutingEvent {}
 
   /** Tokens arrived from the decode engine and were passed to the caller. */
@@ -43,7 +43,7 @@
   /** An engine reported its load. */
   record LoadReported(UpstreamId upstream, LoadReport report) implements RoutingEvent {}
 
-  /** An engine listed the attempts that it holds. */
+  /** An engine listed the attempts that it has work or a KV cache for. */
   record HeldAttemptsListed(UpstreamId upstream, List<HeldAttempt> attempts)
       implements RoutingEvent {
     /** Copies the list. */
@@ -55,7 +55,7 @@
   /** A message from another node arrived. */
   record PeerMessageReceived(HostId from, PeerMessage message) implements RoutingEvent {}
 
-  /** A manifest came into force. */
+  /** A manifest became active. */
   record ManifestApplied(long revision, Manifest manifest) implements RoutingEvent {}
 
   /** The set of live nodes changed. */
@@ -66,12 +66,12 @@
     }
   }
 
-  /** An upstream must get no new work. */
+  /** An upstream is leaving (draining) and must not receive new work. */
   record UpstreamLeaving(UpstreamId upstream) implements RoutingEvent {}
 
   /** A timer that was set by {@link RoutingCommand.SetTimer} fired. */
   record TimerFired(TimerKey key) implements RoutingEvent {}
 
-  /** This node must take no new requests and finish those that it has. */
+  /** This node must refuse new requests and complete those in progress. */
   record DrainRequested() implements RoutingEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/TimerKey.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/TimerKey.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.routing;
 
 /**
- * Names a timer of the routing decisions. Setting a timer again replaces the earlier one.
+ * Identifies a timer of a {@link RoutingPolicy}. Setting a timer again replaces the earlier one.
  *
- * @param kind what the timer is for
- * @param subject the request, attempt or cell that it concerns
+ * @param kind purpose of the timer
+ * @param subject request, cell or host that the timer concerns
  */
 public record TimerKey(String kind, String subject) {}
--- a/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
@@ -23,7 +23,7 @@
 import org.mustardlatch.core.model.WorkspaceId;
 import org.mustardlatch.core.model.ZoneId;
 
-/** Manifests, members and requests for tests. */
+/** Creates manifests, members and requests for tests. */
 final class Fixtures {
   static final ModelId MODEL = new ModelId("label");
   static final RegionId OSLO = new RegionId("oslo");
@@ -79,7 +79,7 @@
     return result;
   }
 
-  /** Returns engines m0, m1, … that do both halves. */
+  /** Returns engines m0, m1, … that run both prefill and decode. */
   static List<Upstream> mixedEngines(int count) {
     List<Upstream> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -104,7 +104,7 @@
     return request(id, promptTokens, fingerprint(id.hashCode()), now);
   }
 
-  static GenerationRequest request(String id, int promptTokens, Fingerprint print, long now) {
+  static GenerationRequest request(String id, int promptTokens, Fingerprint fingerprint, long now) {
     return new GenerationRequest(
         new RequestId(id),
         WORKSPACE,
@@ -113,7 +113,7 @@
         100,
         promptTokens * 4,
         List.of(),
-        print,
+        fingerprint,
         now + 900 * MILLI,
         now + 60 * SECOND);
   }
--- a/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
@@ -23,12 +23,17 @@
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Nodes, engines and callers in virtual time, with faults. */
+/**
+ * Simulation of nodes, engines and callers in virtual time, with faults: lost messages, refusals,
+ * crashes, stalls, slow engines and paused nodes. Single-threaded; repeatable by its seed.
+ */
 final class FleetSimulation {
   private record Task(long timeNanos, long order, Runnable action) implements Comparable<Task> {
     @Override
     public int compareTo(Task o) {
-      return timeNanos != o.timeNanos ? Long.compare(timeNanos, o.timeNanos) : Long.compare(order, o.order);
+      return timeNanos != o.timeNanos
+          ? Long.compare(timeNanos, o.timeNanos)
+          : Long.compare(order, o.order);
     }
   }
 
@@ -56,7 +61,7 @@
       processBacklog();
     }
 
-    /** Handles what has arrived, in order, unless the node is paused. */
+    /** Handles the events that have arrived, in order, unless the node is paused. */
     private void processBacklog() {
       if (nowNanos < pausedUntilNanos) {
         runAt(pausedUntilNanos, this::processBacklog);
@@ -65,15 +70,15 @@
       for (RoutingEvent e = backlog.poll(); e != null; e = backlog.poll()) {
         if (!crashed) {
           router.handle(e, nowNanos, c -> execute(this, c));
-          if (e instanceof RoutingEvent.CallerDisconnected g) {
-            processedDisconnects.add(g.request());
+          if (e instanceof RoutingEvent.CallerDisconnected d) {
+            processedDisconnects.add(d.request());
           }
         }
       }
     }
   }
 
-  /** What an engine holds for an attempt. */
+  /** Work of an attempt on an engine. */
   private static final class EngineWork {
     final Node owner;
     final long incarnation;
@@ -86,7 +91,7 @@
     }
   }
 
-  /** A model engine. */
+  /** A simulated engine. */
   static final class Engine {
     final Upstream upstream;
     final Map<AttemptId, EngineWork> workByAttempt = new LinkedHashMap<>();
@@ -139,6 +144,7 @@
     tasks.add(new Task(Math.max(time, nowNanos), nextTaskOrder++, action));
   }
 
+  /** Runs all tasks until the given time. */
   void advanceTo(long end) {
     while (!tasks.isEmpty() && tasks.peek().timeNanos() <= end) {
       Task t = tasks.remove();
@@ -163,6 +169,7 @@
     }
   }
 
+  /** Stops a node; membership removes it 8 s later. */
   void crashNode(Node node) {
     node.crashed = true;
     runAfter(
@@ -173,6 +180,7 @@
         });
   }
 
+  /** Pauses a node; after 8 s membership removes it until its pause ends. */
   void pauseNode(Node node, long duration) {
     node.pausedUntilNanos = Math.max(node.pausedUntilNanos, nowNanos + duration);
     if (duration > 8 * SECOND) {
@@ -201,6 +209,7 @@
                 () -> n.deliver(new RoutingEvent.MembersChanged(live))));
   }
 
+  /** Crashes an engine, which fails all its work and refuses new work for the given duration. */
   void crashEngine(Engine e, long downTime) {
     e.downUntilNanos = nowNanos + downTime;
     e.busyUntilNanos = nowNanos;
@@ -247,17 +256,22 @@
           runAfter(MILLI, () -> node.deliver(new RoutingEvent.EngineReserved(c.attempt())));
       case RoutingCommand.StartPrefill c -> startPrefill(node, c);
       case RoutingCommand.StartDecode c -> startDecode(node, c);
-      case RoutingCommand.CancelAttempt c -> engineOf(c.upstream()).workByAttempt.remove(c.attempt());
+      case RoutingCommand.CancelAttempt c ->
+          engineOf(c.upstream()).workByAttempt.remove(c.attempt());
       case RoutingCommand.CancelOrphanedAttempt c -> cancelOrphanedAttempt(c);
       case RoutingCommand.ReleaseKv c -> {}
       case RoutingCommand.SendPeerMessage c -> {
         if (random.nextDouble() >= messageLossRate) {
           Node to = nodes.stream().filter(n -> n.host.equals(c.to())).findFirst().orElseThrow();
-          // Peer connections keep the order of messages.
-          long at =
-              Math.max(nowNanos + MILLI + random.nextLong(MILLI), node.lastDeliveryNanos.getOrDefault(to, 0L));
-          node.lastDeliveryNanos.put(to, at);
-          runAt(at, () -> to.deliver(new RoutingEvent.PeerMessageReceived(node.host, c.message())));
+          // Peer connections preserve the order of messages.
+          long deliveryNanos =
+              Math.max(
+                  nowNanos + MILLI + random.nextLong(MILLI),
+                  node.lastDeliveryNanos.getOrDefault(to, 0L));
+          node.lastDeliveryNanos.put(to, deliveryNanos);
+          runAt(
+              deliveryNanos,
+              () -> to.deliver(new RoutingEvent.PeerMessageReceived(node.host, c.message())));
         }
       }
       case RoutingCommand.Refuse c -> recordFinalResponse(c.request(), c);
@@ -279,31 +293,31 @@
   }
 
   private void cancelOrphanedAttempt(RoutingCommand.CancelOrphanedAttempt c) {
-    Map<AttemptId, EngineWork> held = engineOf(c.upstream()).workByAttempt;
-    for (Map.Entry<AttemptId, EngineWork> e : List.copyOf(held.entrySet())) {
+    Map<AttemptId, EngineWork> work = engineOf(c.upstream()).workByAttempt;
+    for (Map.Entry<AttemptId, EngineWork> e : List.copyOf(work.entrySet())) {
       EngineWork w = e.getValue();
       if (e.getKey().toString().equals(c.attempt().attempt())
           && w.incarnation == c.attempt().incarnation()) {
-        held.remove(e.getKey());
+        work.remove(e.getKey());
         if (!w.owner.crashed && w.owner.isMember && w.owner.router.incarnation() == w.incarnation) {
-          violations.add("not cancelled by its live owner: " + e.getKey());
+          violations.add("cancelled as orphaned although its owner is live: " + e.getKey());
         }
       }
     }
   }
 
-  private void recordFinalResponse(RequestId id, RoutingCommand answer) {
+  private void recordFinalResponse(RequestId id, RoutingCommand response) {
     responseCounts.merge(id, 1, Integer::sum);
-    finalResponses.put(id, answer);
+    finalResponses.put(id, response);
     if (processedDisconnects.contains(id)) {
-      violations.add("answer after the caller left: " + answer);
+      violations.add("response after the caller disconnected: " + response);
     }
   }
 
   private @Nullable Engine acceptWork(Node node, AttemptId attempt, UpstreamId upstream) {
     Engine e = engineOf(upstream);
     if (nowNanos > e.leavingSinceNanos + 5 * SECOND) {
-      violations.add("new work " + attempt + " for leaving upstream " + upstream);
+      violations.add("new work for attempt " + attempt + " on leaving upstream " + upstream);
     }
     if (nowNanos < e.downUntilNanos || random.nextDouble() < engineRefusalRate) {
       runAfter(MILLI, () -> reportFailure(node, attempt, Failure.REFUSED));
@@ -326,7 +340,8 @@
 
   private void finishPrefill(Node node, Engine e, AttemptId attempt) {
     if (e.workByAttempt.remove(attempt) != null) {
-      KvHandle kv = new KvHandle(e.upstream.id(), attempt.toString(), 1, nowNanos + Fixtures.KV_LIFETIME);
+      KvHandle kv =
+          new KvHandle(e.upstream.id(), attempt.toString(), 1, nowNanos + Fixtures.KV_LIFETIME);
       node.deliver(new RoutingEvent.PrefillFinished(attempt, kv));
     }
   }
@@ -353,6 +368,7 @@
     runAfter(transfer, () -> decodeStep(node, e, c.attempt(), c.resumeFrom(), true));
   }
 
+  /** Crashes the engine if it still runs the attempt. */
   private void crashIfRunning(Engine e, AttemptId attempt) {
     if (e.workByAttempt.containsKey(attempt)) {
       crashEngine(e, 4 * SECOND);
--- a/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
@@ -22,6 +22,7 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.AdmissionMessage.Reserve;
 
+/** Tests the decisions of single nodes by their commands; the tests supply all events. */
 class NodeRouterTest {
   private final List<RoutingCommand> commands = new ArrayList<>();
   private NodeRouter router;
@@ -117,7 +118,8 @@
     handle(new RoutingEvent.DecodeStarted(d.attempt()));
     handle(new RoutingEvent.TokensArrived(d.attempt(), 7));
     handle(new RoutingEvent.DecodeFailed(d.attempt(), Failure.CRASHED));
-    RoutingCommand.StartDecode next = finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
+    RoutingCommand.StartDecode next =
+        finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
 
     assertThat(next.attempt()).isEqualTo(new AttemptId(new RequestId("r1"), 2));
     assertThat(next.resumeFrom()).isEqualTo(7);
@@ -152,7 +154,8 @@
 
     assertThat(commandsOfType(RoutingCommand.CancelAttempt.class))
         .containsExactly(new RoutingCommand.CancelAttempt(p.attempt(), p.upstream()));
-    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).upstream()).isNotEqualTo(p.upstream());
+    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).upstream())
+        .isNotEqualTo(p.upstream());
   }
 
   @Test
@@ -199,7 +202,7 @@
             2, Fixtures.manifest(Objective.WASTE_AVERSE, Fixtures.enginePools(prefillEngines, 2))));
   }
 
-  /** Fires the request's timer when its prefill has taken twice its predicted time. */
+  /** Advances the time to the timer of request r1, at which its prefill is late, and fires it. */
   private void fireLatePrefillTimer() {
     RoutingCommand.SetTimer timer =
         commandsOfType(RoutingCommand.SetTimer.class).stream()
@@ -265,12 +268,12 @@
 
   @Test
   void cancelsAttemptsOfDeadIncarnations() {
-    HostId gone = Fixtures.host(1);
+    HostId removedHost = Fixtures.host(1);
     handle(
         new RoutingEvent.MembersChanged(
             List.of(Fixtures.member(0, OSLO), Fixtures.member(1, OSLO))));
-    HeldAttempt old = new HeldAttempt("x.1", gone, 0);
-    HeldAttempt live = new HeldAttempt("y.1", gone, 1);
+    HeldAttempt old = new HeldAttempt("x.1", removedHost, 0);
+    HeldAttempt live = new HeldAttempt("y.1", removedHost, 1);
     handle(new RoutingEvent.HeldAttemptsListed(new UpstreamId("d0"), List.of(old, live)));
     assertThat(commandsOfType(RoutingCommand.CancelOrphanedAttempt.class))
         .containsExactly(new RoutingCommand.CancelOrphanedAttempt(old, new UpstreamId("d0")));
@@ -290,7 +293,8 @@
     now += 200 * MILLI;
     handle(new RoutingEvent.TimerFired(new TimerKey("cell", "label/oslo/0")));
 
-    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).attempt().number()).isEqualTo(2);
+    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).attempt().number())
+        .isEqualTo(2);
   }
 
   @Test
@@ -305,7 +309,7 @@
     assertThat(d.upstream()).isEqualTo(new UpstreamId("m0"));
     handle(new RoutingEvent.DecodeFinished(d.attempt()));
 
-    // A slot or memory that was not given back would refuse one of these.
+    // If a slot or memory were not released, one of these requests would be refused.
     for (int i = 0; i < 100; i++) {
       handle(new RoutingEvent.DecodeFinished(finishPrefill(startPrefill("s" + i)).attempt()));
     }
@@ -319,8 +323,10 @@
     remote.handle(
         new RoutingEvent.RequestArrived(Fixtures.request("r1", 2000, now)), now, commands::add);
 
-    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).to()).isEqualTo(Fixtures.host(0));
-    assertThat(commandsOfType(RoutingCommand.Explain.class).stream().map(RoutingCommand.Explain::rule))
+    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).to())
+        .isEqualTo(Fixtures.host(0));
+    assertThat(
+            commandsOfType(RoutingCommand.Explain.class).stream().map(RoutingCommand.Explain::rule))
         .contains("cross_region");
   }
 
@@ -332,8 +338,10 @@
     bergen.handle(
         new RoutingEvent.RequestArrived(Fixtures.request("r1", 2000, now)), now, commands::add);
 
-    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).to()).isEqualTo(Fixtures.host(0));
-    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).message()).isInstanceOf(Reserve.class);
+    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).to())
+        .isEqualTo(Fixtures.host(0));
+    assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).message())
+        .isInstanceOf(Reserve.class);
   }
 
   @Test
@@ -346,7 +354,8 @@
     bergen.handle(
         new RoutingEvent.RequestArrived(Fixtures.request("r1", 2000, now)), now, commands::add);
 
-    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).upstream()).isEqualTo(new UpstreamId("b0"));
+    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).upstream())
+        .isEqualTo(new UpstreamId("b0"));
   }
 
   private NodeRouter bergenNode(List<Upstream> engines) {
@@ -368,7 +377,7 @@
   void refusesRequestsBeyondTheCrossRegionByteBudget() {
     NodeRouter remote = bergenNode(Fixtures.enginePools(2, 2));
     for (int i = 0; i < 6; i++) {
-      // 120 kB each; the budget of the region is 500 kB a second.
+      // Each request has 120 kB; the budget of the region is 500 kB per second.
       GenerationRequest r = Fixtures.request("r" + i, 30_000, now);
       remote.handle(new RoutingEvent.RequestArrived(r), now, commands::add);
     }
@@ -393,8 +402,10 @@
       assertThat(commandsOfType(RoutingCommand.SendPeerMessage.class)).isEmpty();
       assertThat(router.openReservations()).isEqualTo(1);
     } else {
-      RoutingCommand.SendPeerMessage renew = lastCommandOfType(RoutingCommand.SendPeerMessage.class);
-      second.handle(new RoutingEvent.PeerMessageReceived(Fixtures.host(0), renew.message()), now, c -> {});
+      RoutingCommand.SendPeerMessage renew =
+          lastCommandOfType(RoutingCommand.SendPeerMessage.class);
+      second.handle(
+          new RoutingEvent.PeerMessageReceived(Fixtures.host(0), renew.message()), now, c -> {});
       assertThat(router.openReservations()).isEqualTo(0);
       assertThat(second.openReservations()).isEqualTo(1);
     }
@@ -421,18 +432,21 @@
   @Test
   void doesNotRepeatANonResumableGenerationThatMayHaveStarted() {
     handle(new RoutingEvent.RequestArrived(nonResumableRequest("r1")));
-    RoutingCommand.StartDecode d = finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
+    RoutingCommand.StartDecode d =
+        finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
     handle(new RoutingEvent.DecodeFailed(d.attempt(), Failure.DISCONNECTED));
 
     assertThat(commandsOfType(RoutingCommand.StartDecode.class)).hasSize(1);
-    assertThat(lastCommandOfType(RoutingCommand.Refuse.class).code()).isEqualTo(ErrorCode.UPSTREAM_FAILED);
+    assertThat(lastCommandOfType(RoutingCommand.Refuse.class).code())
+        .isEqualTo(ErrorCode.UPSTREAM_FAILED);
     assertNoOpenWork();
   }
 
   @Test
   void repeatsANonResumableGenerationThatItsEngineRefused() {
     handle(new RoutingEvent.RequestArrived(nonResumableRequest("r1")));
-    RoutingCommand.StartDecode d = finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
+    RoutingCommand.StartDecode d =
+        finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
     handle(new RoutingEvent.DecodeFailed(d.attempt(), Failure.REFUSED));
 
     assertThat(commandsOfType(RoutingCommand.StartDecode.class)).hasSize(2);
@@ -442,7 +456,8 @@
   @Test
   void doesNotCancelANonResumableGenerationOnAStalledEngine() {
     handle(new RoutingEvent.RequestArrived(nonResumableRequest("r1")));
-    RoutingCommand.StartDecode d = finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
+    RoutingCommand.StartDecode d =
+        finishPrefill(lastCommandOfType(RoutingCommand.StartPrefill.class));
     handle(new RoutingEvent.DecodeStarted(d.attempt()));
     for (int i = 0; i < 20; i++) {
       now += 500 * MILLI;
@@ -494,7 +509,8 @@
     assertThat(commandsOfType(RoutingCommand.StartPrefill.class)).isEmpty();
 
     handle(new RoutingEvent.EngineReserved(second.attempt()));
-    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).attempt()).isEqualTo(second.attempt());
+    assertThat(lastCommandOfType(RoutingCommand.StartPrefill.class).attempt())
+        .isEqualTo(second.attempt());
   }
 
   @Test
@@ -505,7 +521,8 @@
     handle(new RoutingEvent.EngineReserved(r.attempt()));
     handle(new RoutingEvent.CallerDisconnected(new RequestId("r1")));
 
-    assertThat(lastCommandOfType(RoutingCommand.CancelAttempt.class).attempt()).isEqualTo(r.attempt());
+    assertThat(lastCommandOfType(RoutingCommand.CancelAttempt.class).attempt())
+        .isEqualTo(r.attempt());
     assertNoOpenWork();
   }
 
--- a/core/src/test/java/org/mustardlatch/core/routing/RandomFaultsTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/RandomFaultsTest.java
@@ -16,7 +16,11 @@
 import org.mustardlatch.core.model.Fingerprint;
 import org.mustardlatch.core.model.RequestId;
 
-/** Random schedules of requests and faults; every seed is repeatable. */
+/**
+ * Runs random schedules of requests and faults on a simulated fleet. Guards against requests
+ * without a response or with two, and against reservations and engine work that remain after all
+ * requests have ended. A failure can be repeated with its seed.
+ */
 class RandomFaultsTest {
   private static final int SEED_COUNT = 300;
 
@@ -26,7 +30,8 @@
     return new FleetSimulation(seed, 4, Fixtures.manifest(objective, engines));
   }
 
-  private static void scheduleRequests(FleetSimulation f, SplittableRandom r, int count, long span) {
+  private static void scheduleRequests(
+      FleetSimulation f, SplittableRandom r, int count, long span) {
     for (int i = 0; i < count; i++) {
       long at = f.nowNanos + r.nextLong(span);
       String id = "r" + i;
@@ -40,7 +45,7 @@
     }
   }
 
-  /** The callers of a node that died lose their connections. */
+  /** Records the caller of a crashed node as disconnected. */
   private static void markDisconnected(FleetSimulation f, FleetSimulation.Node node, String id) {
     if (node.crashed) {
       f.disconnectedRequests.add(new RequestId(id));
@@ -74,21 +79,21 @@
   private static void assertConsistent(FleetSimulation f, long seed) {
     assertWithMessage("seed %s: violations", seed).that(f.violations).isEmpty();
     for (RequestId id : f.requests.keySet()) {
-      int answers = f.responseCounts.getOrDefault(id, 0);
+      int responses = f.responseCounts.getOrDefault(id, 0);
       if (f.disconnectedRequests.contains(id)) {
-        assertWithMessage("seed %s: answers to %s, whose caller left", seed, id)
-            .that(answers)
+        assertWithMessage("seed %s: responses to %s, whose caller disconnected", seed, id)
+            .that(responses)
             .isAtMost(1);
       } else {
-        assertWithMessage("seed %s: answers to %s", seed, id).that(answers).isEqualTo(1);
+        assertWithMessage("seed %s: responses to %s", seed, id).that(responses).isEqualTo(1);
       }
     }
     for (FleetSimulation.Node n : f.nodes) {
       if (!n.crashed) {
-        assertWithMessage("seed %s: requests left on %s", seed, n.host)
+        assertWithMessage("seed %s: open requests on %s", seed, n.host)
             .that(n.router.openRequests())
             .isEqualTo(0);
-        assertWithMessage("seed %s: reservations left on %s", seed, n.host)
+        assertWithMessage("seed %s: open reservations on %s", seed, n.host)
             .that(n.router.openReservations())
             .isEqualTo(0);
       }
@@ -97,7 +102,7 @@
         .values()
         .forEach(
             e ->
-                assertWithMessage("seed %s: held by %s", seed, e.upstream.id())
+                assertWithMessage("seed %s: remaining work on %s", seed, e.upstream.id())
                     .that(e.workByAttempt.keySet())
                     .isEmpty());
   }
@@ -121,17 +126,19 @@
       FleetSimulation f = newFleet(seed);
       SplittableRandom r = new SplittableRandom(seed);
       f.advanceTo(f.nowNanos + 3 * SECOND);
-      Fingerprint poison = Fixtures.fingerprint(666);
-      f.crashingFingerprints.add(poison);
+      Fingerprint crashing = Fixtures.fingerprint(666);
+      f.crashingFingerprints.add(crashing);
       scheduleRequests(f, r, 60, 20 * SECOND);
       for (int i = 0; i < 8; i++) {
         String id = "x" + i;
         FleetSimulation.Node n = f.nodes.get(r.nextInt(f.nodes.size()));
-        f.runAfter(i * 2L * SECOND, () -> f.sendRequest(n, Fixtures.request(id, 500, poison, f.nowNanos)));
+        f.runAfter(
+            i * 2L * SECOND,
+            () -> f.sendRequest(n, Fixtures.request(id, 500, crashing, f.nowNanos)));
       }
       f.advanceTo(f.nowNanos + 150 * SECOND);
       assertConsistent(f, seed);
-      assertWithMessage("seed %s", seed).that(f.crashCounts.getOrDefault(poison, 0)).isAtMost(2);
+      assertWithMessage("seed %s", seed).that(f.crashCounts.getOrDefault(crashing, 0)).isAtMost(2);
       RoutingCommand last = f.finalResponses.get(new RequestId("x7"));
       assertThat(last).isInstanceOf(RoutingCommand.Refuse.class);
       assertThat(String.valueOf(last)).contains(ErrorCode.REQUEST_QUARANTINED.name());
--- a/replay/src/main/java/org/mustardlatch/replay/Dispatcher.java
+++ b/replay/src/main/java/org/mustardlatch/replay/Dispatcher.java
@@ -60,7 +60,8 @@
       case RoutingCommand.ReleaseKv c ->
           send(node, engine(c.handle().source()), e -> e.prefill().release(c.handle().reference()));
       case RoutingCommand.SendPeerMessage c -> {
-        RoutingEvent event = new RoutingEvent.PeerMessageReceived(node.member().host(), c.message());
+        RoutingEvent event =
+            new RoutingEvent.PeerMessageReceived(node.member().host(), c.message());
         RegionId to = fleet.node(c.to()).member().region();
         network.send(
             node.member().region(), to, MESSAGE_BYTES, () -> fleet.node(c.to()).handle(event));
