--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
@@ -4,8 +4,8 @@
 
 /** Timeouts of the stages of an attempt. Times are monotonic nanoseconds of this node. */
 final class AttemptDeadlines {
-  // An admitting node of this region responds within a millisecond; one that has not responded by
-  // then is dead or unreachable.
+  // An admitting node of this region responds within a millisecond; one that exceeds the timeout is
+  // dead or unreachable.
   private static final long LOCAL_RESPONSE_TIMEOUT_NANOS = 50_000_000;
   // An engine reserves a slot within a millisecond; the rest covers the round trip to another
   // region.
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Returns the time after which the attempt is cancelled if its prefill has not ended. The final
-   * deadline and the predicted time limit a continued stream; the first-token deadline and the
-   * prediction of the grant limit a new one.
+   * Returns the time after which the end of the prefill is of no use any more. For a continued
+   * stream it is the earlier of the final deadline and the stall timeout after the predicted first
+   * token; for a new stream, the later of the first-token deadline and the predicted first token,
+   * plus a grace period.
    */
   long firstTokenCutoffNanos(EntryRequest q, Attempt a) {
     long target = a.cell.model().firstTokenTarget().toNanos();
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -13,7 +13,8 @@
 
 /**
  * Starts the attempts of a request: checks for quarantine, requests the permission that a suspect
- * needs to run, and chooses a cell of this or another region.
+ * needs to run, and chooses a cell of this or another region. A suspect is a request whose content
+ * was on an engine that crashed.
  */
 final class AttemptStarter {
   private static final long PERMISSION_TIMEOUT_NANOS = 100_000_000;
@@ -100,6 +101,10 @@
     }
   }
 
+  /**
+   * Starts an attempt in a local cell. Prefers another region if the local cell has no prefill
+   * engine.
+   */
   private void startLocally(EntryRequest q) {
     Cell cell = cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells);
     if (cell == null || q.refusedCells.size() >= MAX_LOCAL_CELLS) {
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -17,7 +17,8 @@
  * responses.
  */
 final class CellChooser {
-  // An older summary is ignored: most of the requests that it counted have left the cell.
+  // An older summary does not exclude a cell: most of the requests that it counted have left the
+  // cell.
   private static final long MAX_SUMMARY_AGE_NANOS = 1_000_000_000;
 
   // A cell with a longer wait or fewer free slots needs its capacity for the callers of its own
--- a/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
@@ -15,7 +15,7 @@
   /** Monotonic time of the arrival. */
   final long arrivedNanos;
 
-  /** Upstreams that failed this request. */
+  /** Upstreams to avoid for this request: they failed, had a late prefill or are leaving. */
   final Set<UpstreamId> excluded = new LinkedHashSet<>();
 
   /** Cells that refused the request since the last grant. */
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -233,7 +233,7 @@
     orphanSweeper.tick();
   }
 
-  /** Discards all state that other nodes may have replaced while this node was paused. */
+  /** Discards the state that other nodes may have replaced during a long pause, and starts anew. */
   private void startNewIncarnation() {
     incarnation++;
     commands.emit(
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -25,9 +25,8 @@
 
 /**
  * Coordinates the requests of this node's callers, from arrival to the single final response.
- * Handles the responses of admitting nodes, the events of upstream calls and the timers of
- * requests, and decides about retries, hedges and refusals. Called by {@link NodeRouter} on its
- * thread.
+ * {@link NodeRouter} passes it the responses of admitting nodes, events of upstream calls and
+ * timers; it decides about retries, hedges and refusals.
  */
 final class RequestCoordinator implements AttemptStarter.RequestCallbacks {
   static final String TIMER_KIND = "request";
@@ -35,7 +34,7 @@
   /** A KV cache that expires sooner than this is not reused on another decode engine. */
   private static final long MIN_KV_TIME_LEFT_NANOS = 150_000_000;
 
-  // Limits the fleet to some tens of extra attempts when every node spends its saved budget at once.
+  // Limits the fleet to some tens of extra attempts when all nodes spend their saved budgets.
   private static final double FLEET_RETRY_BUDGET = 48;
   private static final int MIN_NODES = 8;
   private static final double MAX_NODE_RETRY_BUDGET = FLEET_RETRY_BUDGET / MIN_NODES;
@@ -105,8 +104,7 @@
     starter.topologyChanged(next);
     cellChooser.retainCells(next);
     // A budget limit below one unit would never permit a retry.
-    retryBudget.limit(
-        Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
+    retryBudget.limit(Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
       crossRegionPolicy.configure(manifest.link(), next.membersIn(region));
@@ -150,8 +148,6 @@
     }
   }
 
-  // ---- Responses of admitting nodes ----
-
   /** Cancels the other attempt if its reservation has not been granted. */
   private void cancelOtherReservationRequest(EntryRequest q, Attempt granted) {
     Attempt other = granted == q.current ? q.hedge : q.current;
@@ -258,8 +254,6 @@
         + s.freeSlots();
   }
 
-  // ---- Events of upstreams ----
-
   void engineReserved(AttemptId id) {
     if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
         && a.state == Attempt.State.RESERVING) {
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestTable.java
@@ -34,11 +34,11 @@
   }
 
   /** Returns the request with this identifier, or null; the text need not be a valid identifier. */
-  @Nullable EntryRequest findByIdText(String name) {
+  @Nullable EntryRequest findByIdText(String idText) {
     try {
-      return requests.get(new RequestId(name));
+      return requests.get(new RequestId(idText));
     } catch (IllegalArgumentException e) {
-      // Engines may report attempts that this router did not start.
+      // Engines may report identifiers that this router did not create.
       return null;
     }
   }
