--- a/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
@@ -8,59 +8,74 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** A request of a caller at its entry node, until its final answer. */
+/** State of a caller's request at its entry node, from its arrival to the final response. */
 final class EntryRequest {
   final GenerationRequest request;
+
+  /** Monotonic time of the arrival. */
   final long arrivedNanos;
 
-  /** Upstreams that failed this request. */
+  /** Upstreams to avoid for this request: they failed, had a late prefill or are leaving. */
   final Set<UpstreamId> excluded = new LinkedHashSet<>();
 
-  /** Cells that refused it since the last attempt that was granted. */
+  /** Cells that refused the request since the last grant. */
   final Set<String> refusedCells = new HashSet<>();
 
+  /** Attempt in progress; null between attempts. */
   @Nullable Attempt current;
+
+  /** Second attempt in parallel to the current one, in the same or a remote cell; or null. */
   @Nullable Attempt hedge;
 
-  /** Whether it waits for the permission to run as a suspect. */
-  boolean waitsForPermission;
+  /** Whether the request waits for the permission to run as a suspect. */
+  boolean awaitsPermission;
+
+  /** Whether the permission to run as a suspect was granted and not used up by a crash. */
+  boolean suspectRunPermitted;
+
+  /** Permission requests sent since the last WAIT verdict. */
+  int permissionRequests;
+
+  /** Whether an attempt ran with the permission for a suspect. */
+  boolean ranAsSuspect;
 
-  /** Whether the permission to run as a suspect was given. */
-  boolean permitted;
+  /** Whether a second prefill was requested because the first was late. */
+  boolean secondPrefillRequested;
 
-  int permissionAsks;
-  boolean suspectRun;
-  boolean hedged;
-  boolean askedRemote;
+  /** Whether a remote cell was chosen although this region has a cell for the model. */
+  boolean remoteCellContacted;
 
-  /** Bytes taken from the cross-region budget for an ask that is not granted yet. */
-  double crossingCost;
+  /** Bytes acquired from the cross-region budget for a reservation request without a grant yet. */
+  double acquiredCrossRegionBytes;
 
+  /** Generated tokens that were passed to the caller. */
   int tokensSent;
 
-  /** Engines that may have begun to generate the answer. */
-  int runs;
+  /** Number of engines that may have started to generate the response. */
+  int generationRuns;
 
-  /** Engines that had no room for a reservation. */
-  int reservationRefusals;
+  /** Number of times that a decode engine did not reserve a slot. */
+  int engineRefusals;
 
-  private int attempts;
+  private int attemptCount;
 
   EntryRequest(GenerationRequest request, long arrivedNanos) {
     this.request = request;
     this.arrivedNanos = arrivedNanos;
   }
 
+  /** Returns the identifier of a new attempt and counts it. */
   AttemptId nextAttempt() {
-    attempts++;
-    return new AttemptId(request.id(), attempts);
+    attemptCount++;
+    return new AttemptId(request.id(), attemptCount);
   }
 
-  int attempts() {
-    return attempts;
+  /** Returns the number of attempts so far. */
+  int attemptCount() {
+    return attemptCount;
   }
 
-  /** Returns the live attempt with this name, or null for one that ended or lost. */
+  /** Returns the attempt with this identifier if it is in progress, otherwise null. */
   @Nullable Attempt find(AttemptId id) {
     if (current != null && current.id.equals(id)) {
       return current;
@@ -68,26 +83,28 @@
     return hedge != null && hedge.id.equals(id) ? hedge : null;
   }
 
+  /** Returns the tokens to prefill: the prompt and the output sent so far. */
   int promptTokens() {
     return request.promptTokens() + tokensSent;
   }
 
-  /** Returns whether one more engine may generate the answer. */
-  boolean mayRunAgain() {
-    return request.resumable() && runs < request.maxRuns();
+  /** Returns whether another engine may generate the response, anew or from where it stopped. */
+  boolean mayGenerateAgain() {
+    return request.resumable() && generationRuns < request.maxRuns();
   }
 
-  /** Returns the tokens of the answer that memory is still planned for. */
+  /** Returns the remaining output tokens for which KV memory is planned. */
   int plannedTokens() {
     return Math.max(0, request.plannedOutputTokens() - tokensSent);
   }
 
+  /** Returns the output tokens that may still be generated. */
   int remainingTokens() {
     return Math.max(0, request.maxOutputTokens() - tokensSent);
   }
 
-  /** Forgets an attempt; the other one, if there is one, becomes the current one. */
-  void drop(Attempt a) {
+  /** Removes an attempt. The other attempt, if any, becomes the current one. */
+  void removeAttempt(Attempt a) {
     if (a == current) {
       current = hedge;
     }
@@ -95,7 +112,7 @@
   }
 
   /** Returns the attempts in progress, the current one first. */
-  List<Attempt> live() {
+  List<Attempt> liveAttempts() {
     Attempt a = current;
     Attempt b = hedge;
     if (a == null) {
@@ -104,7 +121,8 @@
     return b == null ? List.of(a) : List.of(a, b);
   }
 
-  String stage() {
+  /** Returns the state of the current attempt for explanations. */
+  String stageName() {
     return current == null ? "no attempt" : current.state.toString();
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FailureRules.java
@@ -2,11 +2,11 @@
 
 import org.mustardlatch.core.peer.AdmissionMessage.Outcome;
 
-/** What the failure of an upstream call means for the work that it was sent. */
+/** Consequences of a failed upstream call for the work that was sent with it. */
 final class FailureRules {
   private FailureRules() {}
 
-  /** Returns whether the upstream may still hold the work, so that it must be cancelled. */
+  /** Returns whether the upstream may still run the work, so that it must be cancelled. */
   static boolean mayStillRun(Failure failure) {
     return switch (failure) {
       case STALLED, DISCONNECTED, TIMED_OUT -> true;
@@ -14,16 +14,16 @@
     };
   }
 
-  /** Returns whether the upstream certainly did not begin the work that failed. */
-  static boolean notRun(Failure failure) {
+  /** Returns whether the upstream certainly did not start the work. */
+  static boolean neverStarted(Failure failure) {
     return switch (failure) {
       case REFUSED, KV_EXPIRED -> true;
       case CRASHED, STALLED, DISCONNECTED, TIMED_OUT -> false;
     };
   }
 
-  /** Returns the outcome that the admitting node is told. */
-  static Outcome outcome(Failure failure) {
+  /** Returns the outcome to report to the admitting node. */
+  static Outcome reservationOutcome(Failure failure) {
     return switch (failure) {
       case REFUSED -> Outcome.REFUSED;
       case CRASHED -> Outcome.CRASHED;
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
@@ -10,22 +10,22 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Runs a routing policy on the thread of a timer service: keeps its timers and passes its other
- * commands on, all commands of one event before the next event.
+ * Runs a routing policy on the thread of a timer service. Executes timer commands itself and passes
+ * all other commands on; all commands of one event are executed before the next event.
  */
 public final class PolicyRunner {
   private final TimerService timers;
   private final RoutingPolicy policy;
   private final Consumer<RoutingCommand> commands;
-  private final Map<TimerKey, TimerSubscription> armed = new HashMap<>();
+  private final Map<TimerKey, TimerSubscription> activeTimers = new HashMap<>();
 
   /**
    * Creates a runner.
    *
-   * @param timers its thread is the only one that may call {@link #handle}
-   * @param policy the decisions
-   * @param commands receives every command that does not concern a timer; must not call back into
-   *     {@link #handle}
+   * @param timers timer service whose thread is the only one that may call {@link #handle}
+   * @param policy policy that receives the events
+   * @param commands receives every command that does not concern a timer; must not call {@link
+   *     #handle}
    */
   public PolicyRunner(
       TimerService timers, RoutingPolicy policy, Consumer<RoutingCommand> commands) {
@@ -34,7 +34,7 @@
     this.commands = commands;
   }
 
-  /** Passes an event to the policy and carries out what follows from it. */
+  /** Passes an event to the policy and executes the commands that it emits. */
   public void handle(RoutingEvent event) {
     List<RoutingCommand> emitted = new ArrayList<>();
     policy.handle(event, timers.nanos(), emitted::add);
@@ -50,18 +50,18 @@
   private void setTimer(RoutingCommand.SetTimer command) {
     cancelTimer(command.key());
     Duration delay = Duration.ofNanos(command.atNanos() - timers.nanos());
-    armed.put(command.key(), timers.schedule(delay, () -> fire(command.key())));
+    activeTimers.put(command.key(), timers.schedule(delay, () -> timerFired(command.key())));
   }
 
   private void cancelTimer(TimerKey key) {
-    TimerSubscription timer = armed.remove(key);
+    TimerSubscription timer = activeTimers.remove(key);
     if (timer != null) {
       timer.cancel();
     }
   }
 
-  private void fire(TimerKey key) {
-    armed.remove(key);
+  private void timerFired(TimerKey key) {
+    activeTimers.remove(key);
     handle(new RoutingEvent.TimerFired(key));
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -0,0 +1,694 @@
+package org.mustardlatch.core.routing;
+
+import java.time.Duration;
+import java.util.List;
+import org.jspecify.annotations.Nullable;
+import org.mustardlatch.core.balancing.RetryBudget;
+import org.mustardlatch.core.error.ErrorCode;
+import org.mustardlatch.core.manifest.Manifest;
+import org.mustardlatch.core.manifest.Model;
+import org.mustardlatch.core.model.AttemptId;
+import org.mustardlatch.core.model.HostId;
+import org.mustardlatch.core.model.RegionId;
+import org.mustardlatch.core.model.RequestId;
+import org.mustardlatch.core.model.UpstreamId;
+import org.mustardlatch.core.peer.AdmissionMessage.CellSummary;
+import org.mustardlatch.core.peer.AdmissionMessage.Outcome;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveGranted;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveQueued;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveRefused;
+import org.mustardlatch.core.peer.AdmissionMessage.Stage;
+import org.mustardlatch.core.peer.EvidenceMessage.RunPermission;
+import org.mustardlatch.core.quarantine.CrashEvidence;
+import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
+import org.mustardlatch.core.routing.RequestTable.LiveAttempt;
+
+/**
+ * Coordinates the requests of this node's callers, from arrival to the single final response.
+ * {@link NodeRouter} passes it the responses of admitting nodes, events of upstream calls and
+ * timers; it decides about retries, hedges and refusals.
+ */
+final class RequestCoordinator implements AttemptStarter.RequestCallbacks {
+  static final String TIMER_KIND = "request";
+
+  /** A KV cache that expires sooner than this is not reused on another decode engine. */
+  private static final long MIN_KV_TIME_LEFT_NANOS = 150_000_000;
+
+  // Limits the fleet to some tens of extra attempts when all nodes spend their saved budgets.
+  private static final double FLEET_RETRY_BUDGET = 48;
+  private static final int MIN_NODES = 8;
+  private static final double MAX_NODE_RETRY_BUDGET = FLEET_RETRY_BUDGET / MIN_NODES;
+  private static final double INITIAL_RETRY_BUDGET = 4;
+
+  private static final int MAX_ENGINE_REFUSALS = 6;
+  static final int MAX_ATTEMPTS = 8;
+  static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+
+  private final CommandCollector commands;
+  private final NodeSettings settings;
+  private final CrashEvidence evidence;
+  private final EvidenceSide evidenceCoordinator;
+  private final LeavingUpstreams leavingUpstreams;
+  private final RegionId region;
+  private final RetryAfterJitter retryAfterJitter;
+  private final CellChooser cellChooser;
+  private final AttemptDriver driver;
+  private final AttemptDeadlines deadlines;
+  private final AttemptStarter starter;
+  private final RetryBudget retryBudget =
+      new RetryBudget(INITIAL_RETRY_BUDGET, MAX_NODE_RETRY_BUDGET);
+  private final RetryBudget hedgeBudget = new RetryBudget(1, 5);
+  private final CrossRegionPolicy crossRegionPolicy;
+  private final RequestTable requests = new RequestTable();
+  private Topology topology;
+  private boolean draining;
+
+  RequestCoordinator(
+      CellAdmission.Environment env,
+      EvidenceSide evidenceCoordinator,
+      LeavingUpstreams leavingUpstreams,
+      RegionId region,
+      Topology topology) {
+    this.commands = env.effects();
+    this.settings = env.settings();
+    this.evidence = env.evidence();
+    this.evidenceCoordinator = evidenceCoordinator;
+    this.leavingUpstreams = leavingUpstreams;
+    this.region = region;
+    this.deadlines = new AttemptDeadlines(settings, region);
+    this.retryAfterJitter = new RetryAfterJitter(env.random());
+    this.cellChooser = new CellChooser(region, env.random());
+    this.crossRegionPolicy = new CrossRegionPolicy(commands, settings, cellChooser);
+    this.topology = topology;
+    this.driver = new AttemptDriver(commands, region, topology);
+    this.starter =
+        new AttemptStarter(
+            env, evidenceCoordinator, cellChooser, crossRegionPolicy, driver, region, this);
+  }
+
+  int requestCount() {
+    return requests.size();
+  }
+
+  boolean hasLiveAttempt(String attempt) {
+    return requests.hasLiveAttempt(attempt);
+  }
+
+  void startDraining() {
+    draining = true;
+  }
+
+  void topologyChanged(Topology next) {
+    topology = next;
+    driver.topologyChanged(next);
+    starter.topologyChanged(next);
+    cellChooser.retainCells(next);
+    // A budget limit below one unit would never permit a retry.
+    retryBudget.setCapacity(Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
+    Manifest manifest = settings.manifest();
+    if (manifest != null) {
+      crossRegionPolicy.configure(manifest.link(), next.membersIn(region));
+    }
+    for (EntryRequest q : requests.snapshot()) {
+      for (Attempt a : q.liveAttempts()) {
+        driver.updateAdmittingNode(q, a);
+      }
+      updateTimer(q);
+    }
+  }
+
+  void requestArrived(GenerationRequest request) {
+    EntryRequest q = requests.add(request, commands.now());
+    if (q == null) {
+      return;
+    }
+    Model model = topology.model(request.model());
+    if (draining) {
+      refuse(q, ErrorCode.DRAINING, "this node is draining; the request did not run", RETRY_AFTER);
+    } else if (settings.manifest() == null) {
+      refuse(q, ErrorCode.NOT_READY, "no manifest is in force yet", RETRY_AFTER);
+    } else if (model == null) {
+      refuse(q, ErrorCode.UNKNOWN_MODEL, "no model " + request.model(), Duration.ZERO);
+    } else if (request.promptTokens() > model.maxPromptTokens()) {
+      String detail =
+          "prompt has " + request.promptTokens() + " tokens, at most " + model.maxPromptTokens();
+      refuse(q, ErrorCode.PROMPT_TOO_LONG, detail, Duration.ZERO);
+    } else {
+      retryBudget.deposit(settings.limits().retryBudgetFraction());
+      hedgeBudget.deposit(settings.limits().hedgeBudgetFraction());
+      starter.startAttempt(q);
+    }
+  }
+
+  void callerDisconnected(RequestId id) {
+    EntryRequest q = requests.get(id);
+    if (q != null) {
+      commands.explain(id, "caller_gone", "cancelled in " + q.stageName());
+      closeRequest(q, Outcome.CANCELLED);
+    }
+  }
+
+  /** Cancels the other attempt if its reservation has not been granted. */
+  private void cancelOtherReservationRequest(EntryRequest q, Attempt granted) {
+    Attempt other = granted == q.current ? q.hedge : q.current;
+    if (other != null && !other.granted()) {
+      driver.cancel(other, Outcome.CANCELLED, false);
+      q.current = granted;
+      q.hedge = null;
+    }
+    q.acquiredCrossRegionBytes = 0;
+  }
+
+  void recordSummary(CellSummary summary) {
+    cellChooser.recordSummary(summary, commands.now());
+  }
+
+  void reservationGranted(HostId from, ReserveGranted grant) {
+    cellChooser.recordSummary(grant.summary(), commands.now());
+    if (!(requests.find(grant.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
+      driver.declineGrant(from, grant);
+      return;
+    }
+    if (a.granted()) {
+      if (!from.equals(a.admittingNode)) {
+        driver.declineGrant(from, grant);
+      }
+      return;
+    }
+    driver.recordResponse(a);
+    boolean prefillLeaving =
+        a.inheritedKv == null && leavingUpstreams.contains(grant.prefill(), commands.now());
+    if (prefillLeaving || leavingUpstreams.contains(grant.decode(), commands.now())) {
+      q.excluded.add(prefillLeaving ? grant.prefill() : grant.decode());
+      commands.explain(q.request.id(), "leaving_upstream", "declined a grant on " + grant.decode());
+      driver.declineGrant(from, grant);
+      driver.repeatReservationRequest(q, a);
+      return;
+    }
+    String detail = "cell=" + a.cell.name() + " prefill=" + grant.prefill();
+    commands.explain(q.request.id(), "reserved", detail + " decode=" + grant.decode());
+    q.refusedCells.clear();
+    cancelOtherReservationRequest(q, a);
+    cancelLatePrefill(q, a);
+    driver.startGranted(q, a, from, grant);
+    updateTimer(q);
+  }
+
+  void reservationQueued(HostId from, ReserveQueued response) {
+    cellChooser.recordSummary(response.summary(), commands.now());
+    if (requests.find(response.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && !a.granted()) {
+      driver.recordResponse(a);
+      a.lastProgressNanos = commands.now();
+      if (a.state != Attempt.State.QUEUED) {
+        a.enterState(Attempt.State.QUEUED, commands.now());
+        commands.explain(q.request.id(), "queued", "at " + from);
+        starter.requestRemoteHedge(q, a, response.predictedWaitNanos());
+      }
+      updateTimer(q);
+    }
+  }
+
+  void reservationRefused(ReserveRefused response) {
+    cellChooser.recordSummary(response.summary(), commands.now());
+    if (!(requests.find(response.attempt()) instanceof LiveAttempt(EntryRequest q, Attempt a))
+        || a.granted()) {
+      return;
+    }
+    driver.recordResponse(a);
+    Duration retryAfter = Duration.ofNanos(response.retryAfterNanos());
+    if (!a.cell.region().equals(region)) {
+      crossRegionPolicy.releaseBudget(q);
+    }
+    if (a == q.hedge) {
+      q.hedge = null;
+      return;
+    }
+    q.current = q.hedge;
+    q.hedge = null;
+    if (q.current != null) {
+      q.refusedCells.add(a.cell.name());
+      return;
+    }
+    if (response.code() == ErrorCode.REQUEST_QUARANTINED) {
+      starter.refuseQuarantined(q);
+      return;
+    }
+    commands.explain(q.request.id(), "cell_refused", refusalDetail(a, response));
+    if (a.inheritedKv != null) {
+      commands.emit(new RoutingCommand.ReleaseKv(a.inheritedKv));
+      retry(q, Failure.KV_EXPIRED);
+      return;
+    }
+    starter.handleCellRefusal(q, a.cell.name(), response.code(), retryAfter);
+  }
+
+  private static String refusalDetail(Attempt a, ReserveRefused response) {
+    CellSummary s = response.summary();
+    return a.cell.name()
+        + " "
+        + response.code().wireName()
+        + " predicted_wait_ms="
+        + s.predictedWaitNanos() / 1_000_000
+        + " free_slots="
+        + s.freeSlots();
+  }
+
+  void engineReserved(AttemptId id) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.state == Attempt.State.RESERVING) {
+      driver.startPrefill(a);
+      updateTimer(q);
+    }
+  }
+
+  void engineReservationFailed(AttemptId id, Failure failure) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.state == Attempt.State.RESERVING) {
+      attemptFailed(q, a, a.decodeEngine, failure);
+    }
+  }
+
+  void prefillFinished(AttemptId id, KvHandle handle) {
+    if (!(requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a))
+        || a.state != Attempt.State.PREFILL) {
+      commands.emit(new RoutingCommand.ReleaseKv(handle));
+      return;
+    }
+    cancelOtherAttempt(q, a);
+    if (commands.now() > deadlines.firstTokenCutoffNanos(q, a)) {
+      commands.emit(new RoutingCommand.ReleaseKv(handle));
+      driver.releaseReservation(a, Outcome.CANCELLED);
+      q.current = null;
+      String detail = "prefill ended after the first-token deadline";
+      commands.explain(q.request.id(), "prefill_late", detail);
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, detail, RETRY_AFTER);
+      return;
+    }
+    if (commands.now() >= handle.expiresNanos()) {
+      attemptFailed(q, a, a.prefillEngine, Failure.KV_EXPIRED);
+      return;
+    }
+    driver.startDecode(q, a, handle);
+    driver.renewReservation(q, a, Stage.TRANSFER);
+    updateTimer(q);
+  }
+
+  /** Cancels the other attempt, if any; the first of two prefills to end is used. */
+  private void cancelOtherAttempt(EntryRequest q, Attempt winner) {
+    Attempt other = winner == q.current ? q.hedge : q.current;
+    if (other != null) {
+      commands.explain(q.request.id(), "hedge_lost", "attempt " + other.id.number());
+      driver.cancel(other, Outcome.CANCELLED, false);
+    }
+    q.current = winner;
+    q.hedge = null;
+  }
+
+  void prefillFailed(AttemptId id, Failure failure) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.state == Attempt.State.PREFILL) {
+      attemptFailed(q, a, a.prefillEngine, failure);
+    }
+  }
+
+  void decodeStarted(AttemptId id) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.state == Attempt.State.TRANSFER) {
+      a.enterState(Attempt.State.DECODE, commands.now());
+      DecodeProgressMonitor.start(q, a, commands.now());
+      driver.renewReservation(q, a, Stage.DECODE);
+      updateTimer(q);
+    }
+  }
+
+  void tokensArrived(AttemptId id, int count) {
+    if (!(requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a))) {
+      return;
+    }
+    if (a.state == Attempt.State.TRANSFER) {
+      decodeStarted(id);
+    }
+    q.tokensSent += count;
+    a.lastProgressNanos = commands.now();
+  }
+
+  void decodeFinished(AttemptId id) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a) && a.granted()) {
+      complete(q, a);
+    }
+  }
+
+  private void complete(EntryRequest q, Attempt a) {
+    driver.releaseReservation(a, Outcome.FINISHED);
+    cancelOtherAttempt(q, a);
+    q.current = null;
+    String detail =
+        "attempt " + a.id.number() + " on " + a.decodeEngine + ", " + q.tokensSent + " tokens";
+    commands.explain(q.request.id(), "completed", detail);
+    if (q.ranAsSuspect
+        || evidence.suspicionLevel(q.request.fingerprint(), commands.now()) == SuspicionLevel.SUSPECT) {
+      evidenceCoordinator.cleared(q.request.fingerprint());
+    }
+    commands.emit(new RoutingCommand.Complete(q.request.id()));
+    closeRequest(q, Outcome.FINISHED);
+  }
+
+  void decodeFailed(AttemptId id, Failure failure) {
+    if (requests.find(id) instanceof LiveAttempt(EntryRequest q, Attempt a)
+        && a.granted()
+        && a.state != Attempt.State.PREFILL) {
+      if (q.remainingTokens() == 0) {
+        complete(q, a);
+      } else {
+        attemptFailed(q, a, a.decodeEngine, failure);
+      }
+    }
+  }
+
+  /** Ends an attempt whose upstream call failed, and retries or refuses the request. */
+  private void attemptFailed(
+      EntryRequest q, Attempt a, @Nullable UpstreamId upstream, Failure failure) {
+    commands.explain(
+        q.request.id(), "attempt_failed", failure + " on " + upstream + " in " + a.state);
+    if (upstream != null && failure != Failure.KV_EXPIRED) {
+      q.excluded.add(upstream);
+    }
+    boolean mayHaveRun =
+        a.state.compareTo(Attempt.State.TRANSFER) >= 0 && !FailureRules.neverStarted(failure);
+    q.generationRuns += mayHaveRun ? 1 : 0;
+    KvHandle handle = a.state == Attempt.State.TRANSFER ? a.kvHandle : null;
+    boolean reuseKv =
+        handle != null
+            && (!mayHaveRun || q.mayGenerateAgain())
+            && failure != Failure.KV_EXPIRED
+            && handle.expiresNanos() - commands.now() >= MIN_KV_TIME_LEFT_NANOS
+            && q.attemptCount() < MAX_ATTEMPTS;
+    if (FailureRules.mayStillRun(failure)) {
+      driver.cancel(a, Outcome.FAILED, reuseKv);
+    } else {
+      if (handle != null && !reuseKv) {
+        commands.emit(new RoutingCommand.ReleaseKv(handle));
+      }
+      driver.releaseReservation(a, FailureRules.reservationOutcome(failure));
+    }
+    reportCrash(q, a, upstream, failure);
+    if (a == q.hedge) {
+      q.hedge = null;
+      return;
+    }
+    q.current = q.hedge;
+    q.hedge = null;
+    if (q.current != null) {
+      updateTimer(q);
+    } else if (reuseKv && handle != null && retryBudget.tryAcquire()) {
+      commands.explain(q.request.id(), "decode_reassigned", "KV cache of " + handle.source());
+      starter.requestReservation(q, a.cell, handle);
+    } else if (a.state == Attempt.State.RESERVING) {
+      retryReservation(q);
+    } else if (mayHaveRun && !q.mayGenerateAgain()) {
+      commands.explain(q.request.id(), "not_repeatable", "runs=" + q.generationRuns);
+      refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, Duration.ZERO);
+    } else {
+      if (reuseKv && handle != null) {
+        commands.emit(new RoutingCommand.ReleaseKv(handle));
+      }
+      retry(q, failure);
+    }
+  }
+
+  /** Starts a new attempt without charging the retry budget, as no engine time was spent. */
+  private void retryReservation(EntryRequest q) {
+    q.engineRefusals++;
+    if (q.engineRefusals <= MAX_ENGINE_REFUSALS) {
+      starter.startAttempt(q);
+    } else {
+      refuse(q, ErrorCode.OVERLOADED, "no engine has room", retryAfterJitter.draw(2, 1));
+    }
+  }
+
+  private void reportCrash(
+      EntryRequest q, Attempt a, @Nullable UpstreamId upstream, Failure failure) {
+    if (failure != Failure.CRASHED) {
+      return;
+    }
+    q.suspectRunPermitted = false;
+    boolean admitterAlive = a.admittingNode != null && topology.member(a.admittingNode) != null;
+    if (upstream != null && !admitterAlive) {
+      evidenceCoordinator.crashed(upstream, List.of(q.request.fingerprint()));
+    }
+  }
+
+  /** Starts a new attempt if the deadlines and the retry budget permit, or refuses the request. */
+  private void retry(EntryRequest q, Failure failure) {
+    long now = commands.now();
+    boolean inTime =
+        q.tokensSent > 0
+            ? now < q.request.finalDeadlineNanos()
+            : now < q.request.firstTokenDeadlineNanos();
+    if (!inTime) {
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "failed too late to retry: " + failure, RETRY_AFTER);
+    } else if (q.attemptCount() >= MAX_ATTEMPTS || !retryBudget.tryAcquire()) {
+      commands.explain(q.request.id(), "retry_budget", "attempts=" + q.attemptCount());
+      Duration retryAfter = retryAfterJitter.draw(2, 1);
+      refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, retryAfter);
+    } else {
+      String rule = q.tokensSent > 0 ? "continued" : "retried";
+      commands.explain(q.request.id(), rule, "after " + failure + ", tokens=" + q.tokensSent);
+      starter.startAttempt(q);
+    }
+  }
+
+  void permissionReceived(RunPermission response) {
+    EntryRequest q = requests.findByIdText(response.attempt());
+    if (q != null) {
+      starter.handleVerdict(q, response.verdict());
+    }
+  }
+
+  void timerFired(String subject) {
+    EntryRequest q = requests.findByIdText(subject);
+    if (q != null) {
+      checkRequest(q);
+    }
+  }
+
+  private void checkRequest(EntryRequest q) {
+    long now = commands.now();
+    if (now >= q.request.finalDeadlineNanos()) {
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
+      return;
+    }
+    if (q.awaitsPermission) {
+      if (q.tokensSent == 0 && now >= q.request.firstTokenDeadlineNanos()) {
+        refuse(q, ErrorCode.OVERLOADED, "the same request is being examined", RETRY_AFTER);
+      } else {
+        starter.requestPermission(q);
+      }
+      return;
+    }
+    if (q.current == null) {
+      starter.startAttempt(q);
+      return;
+    }
+    for (Attempt a : q.liveAttempts()) {
+      if (q.find(a.id) == a) {
+        checkAttempt(q, a);
+      }
+    }
+    if (requests.get(q.request.id()) == q) {
+      updateTimer(q);
+    }
+  }
+
+  private void checkAttempt(EntryRequest q, Attempt a) {
+    long now = commands.now();
+    switch (a.state) {
+      case ASKING -> {
+        if (now - a.lastRequestNanos >= deadlines.responseTimeoutNanos(a)) {
+          contactNextNode(q, a);
+        }
+      }
+      case QUEUED -> checkQueued(q, a);
+      case RESERVING -> {
+        if (now - a.stateSinceNanos >= AttemptDeadlines.ENGINE_RESERVE_TIMEOUT_NANOS) {
+          attemptFailed(q, a, a.decodeEngine, Failure.STALLED);
+        }
+      }
+      case PREFILL -> checkPrefill(q, a);
+      case TRANSFER -> {
+        KvHandle h = a.kvHandle;
+        if (h != null
+            && q.mayGenerateAgain()
+            && now >= AttemptDeadlines.transferDeadlineNanos(a, h)) {
+          attemptFailed(q, a, a.decodeEngine, Failure.STALLED);
+        }
+      }
+      case DECODE -> {
+        switch (DecodeProgressMonitor.assess(q, a, now)) {
+          case ON_TRACK -> {}
+          case RENEWAL_DUE -> driver.renewReservation(q, a, Stage.DECODE);
+          case STALLED -> {
+            // A silent engine may still be running; only work that may be repeated is moved.
+            if (q.mayGenerateAgain()) {
+              attemptFailed(q, a, a.decodeEngine, Failure.STALLED);
+            }
+          }
+        }
+      }
+    }
+  }
+
+  /** Contacts the next admitting node, or treats the cell as having refused if there is none. */
+  private void contactNextNode(EntryRequest q, Attempt a) {
+    if (driver.contactNextNode(q, a)) {
+      a.enterState(Attempt.State.ASKING, commands.now());
+      return;
+    }
+    driver.cancel(a, Outcome.CANCELLED, false);
+    if (a == q.hedge) {
+      q.hedge = null;
+      return;
+    }
+    q.current = null;
+    commands.explain(q.request.id(), "no_admitting_node", "cell=" + a.cell.name());
+    starter.handleCellRefusal(q, a.cell.name(), ErrorCode.UPSTREAM_UNAVAILABLE, RETRY_AFTER);
+  }
+
+  private void checkQueued(EntryRequest q, Attempt a) {
+    long now = commands.now();
+    if (q.tokensSent == 0 && now >= q.request.firstTokenDeadlineNanos()) {
+      commands.explain(
+          q.request.id(), "queue_too_long", "first-token deadline passed in the queue");
+      Duration retryAfter = retryAfterJitter.draw(now - q.arrivedNanos, now - q.arrivedNanos);
+      refuse(q, ErrorCode.OVERLOADED, "no engine became free in time", retryAfter);
+    } else if (a.lastRequestNanos > a.lastProgressNanos
+        && now - a.lastRequestNanos >= deadlines.responseTimeoutNanos(a)) {
+      contactNextNode(q, a);
+    } else if (now - a.lastRequestNanos >= AttemptDeadlines.QUEUE_CHECK_INTERVAL_NANOS) {
+      driver.repeatReservationRequest(q, a);
+    }
+  }
+
+  private void checkPrefill(EntryRequest q, Attempt a) {
+    long now = commands.now();
+    if (now > deadlines.firstTokenCutoffNanos(q, a)) {
+      commands.explain(q.request.id(), "prefill_late", "cancelled before decode");
+      refuse(q, ErrorCode.DEADLINE_EXCEEDED, "prefill took too long", RETRY_AFTER);
+    } else if (!a.renewedInStage && now >= deadlines.latePrefillNanos(a)) {
+      a.renewedInStage = true;
+      driver.renewReservation(q, a, Stage.PREFILL);
+      boolean inTime = now + a.predictedFirstTokenNanos() < q.request.firstTokenDeadlineNanos();
+      if (a == q.current && q.hedge == null && q.tokensSent == 0 && inTime) {
+        if (settings.tuning().hedges()) {
+          hedgePrefill(q, a);
+        } else {
+          movePrefill(q, a);
+        }
+      }
+    }
+  }
+
+  /** Requests another prefill engine. The late prefill is cancelled when the grant arrives. */
+  private void movePrefill(EntryRequest q, Attempt a) {
+    if (!q.secondPrefillRequested && a.prefillEngine != null && retryBudget.tryAcquire()) {
+      requestSecondPrefill(q, a, "late_prefill_elsewhere");
+    }
+  }
+
+  /** Starts a second attempt in parallel to a late prefill, if the hedge budget permits. */
+  private void hedgePrefill(EntryRequest q, Attempt a) {
+    if (!q.secondPrefillRequested && a.prefillEngine != null && hedgeBudget.tryAcquire()) {
+      requestSecondPrefill(q, a, "hedged");
+    }
+  }
+
+  private void requestSecondPrefill(EntryRequest q, Attempt late, String rule) {
+    q.secondPrefillRequested = true;
+    if (late.prefillEngine != null) {
+      q.excluded.add(late.prefillEngine);
+    }
+    Attempt h = new Attempt(q.nextAttempt(), late.cell, null);
+    h.enterState(Attempt.State.ASKING, commands.now());
+    if (driver.contactNextNode(q, h)) {
+      commands.explain(q.request.id(), rule, "prefill on " + late.prefillEngine + " is late");
+      q.hedge = h;
+    }
+  }
+
+  /** Cancels a late prefill that was moved, which wastes less than running both prefills. */
+  private void cancelLatePrefill(EntryRequest q, Attempt granted) {
+    Attempt late = q.current;
+    if (granted == q.hedge && late != null && !settings.tuning().hedges()) {
+      commands.explain(q.request.id(), "late_prefill_moved", "from " + late.prefillEngine);
+      driver.cancel(late, Outcome.CANCELLED, false);
+      q.current = granted;
+      q.hedge = null;
+    }
+  }
+
+  @Override
+  public void updateTimer(EntryRequest q) {
+    if (q.liveAttempts().isEmpty()) {
+      // Waiting for a permission or for the delay after a pause, which set their own timers.
+      return;
+    }
+    long nextCheck = q.request.finalDeadlineNanos();
+    for (Attempt a : q.liveAttempts()) {
+      nextCheck = Math.min(nextCheck, deadlines.nextCheckNanos(q, a, commands.now()));
+    }
+    commands.setTimer(TIMER_KIND, q.request.id().value(), Math.max(nextCheck, commands.now() + 1));
+  }
+
+  /** Replaces all attempts, which other nodes may have reclaimed during the pause. */
+  void restartAfterLongPause() {
+    starter.delayNewAttempts();
+    for (EntryRequest q : requests.snapshot()) {
+      for (Attempt a : q.liveAttempts()) {
+        driver.cancel(a, Outcome.CANCELLED, false);
+      }
+      q.current = null;
+      q.hedge = null;
+      commands.explain(q.request.id(), "fenced", "this node was paused");
+      boolean expired = q.tokensSent == 0 && commands.now() >= q.request.firstTokenDeadlineNanos();
+      if (expired) {
+        refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the node was paused", RETRY_AFTER);
+      } else if (!q.awaitsPermission) {
+        starter.startAttempt(q);
+      }
+    }
+  }
+
+  /** Replaces reservation requests from before the pause, so that old grants are not used. */
+  void restartAfterShortPause() {
+    starter.delayNewAttempts();
+    for (EntryRequest q : requests.snapshot()) {
+      for (Attempt a : q.liveAttempts()) {
+        if (!a.granted() && a.inheritedKv == null) {
+          driver.cancel(a, Outcome.CANCELLED, false);
+          q.removeAttempt(a);
+        }
+      }
+      if (q.liveAttempts().isEmpty() && !q.awaitsPermission) {
+        starter.startAttempt(q);
+      }
+    }
+  }
+
+  @Override
+  public void refuse(EntryRequest q, ErrorCode code, String detail, Duration retryAfter) {
+    commands.explain(q.request.id(), "refused_" + code.wireName(), detail);
+    commands.emit(new RoutingCommand.Refuse(q.request.id(), code, detail, retryAfter));
+    closeRequest(q, Outcome.CANCELLED);
+  }
+
+  private void closeRequest(EntryRequest q, Outcome outcome) {
+    for (Attempt a : q.liveAttempts()) {
+      driver.cancel(a, outcome, false);
+    }
+    q.current = null;
+    q.hedge = null;
+    requests.remove(q.request.id());
+    commands.emit(new RoutingCommand.CancelTimer(new TimerKey(TIMER_KIND, q.request.id().value())));
+  }
+}
--- a/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/Fixtures.java
@@ -23,7 +23,7 @@
 import org.mustardlatch.core.model.WorkspaceId;
 import org.mustardlatch.core.model.ZoneId;
 
-/** Manifests, members and requests for tests. */
+/** Creates manifests, members and requests for tests. */
 final class Fixtures {
   static final ModelId MODEL = new ModelId("label");
   static final RegionId OSLO = new RegionId("oslo");
@@ -31,7 +31,7 @@
   static final WorkspaceId WORKSPACE = new WorkspaceId("planners");
   static final long MILLI = 1_000_000;
   static final long SECOND = 1_000 * MILLI;
-  static final long KV_LIFE = 800 * MILLI;
+  static final long KV_LIFETIME = 800 * MILLI;
 
   private Fixtures() {}
 
@@ -68,7 +68,7 @@
   /**
    * Returns {@code prefills} prefill engines p0, p1, … and {@code decodes} decode engines d0, ….
    */
-  static List<Upstream> pools(int prefills, int decodes) {
+  static List<Upstream> enginePools(int prefills, int decodes) {
     List<Upstream> result = new ArrayList<>();
     for (int i = 0; i < prefills; i++) {
       result.add(engine("p" + i, UpstreamRole.PREFILL, "oslo-a", 20));
@@ -79,8 +79,8 @@
     return result;
   }
 
-  /** Returns engines m0, m1, … that do both halves. */
-  static List<Upstream> mixed(int count) {
+  /** Returns engines m0, m1, … that run both prefill and decode. */
+  static List<Upstream> mixedEngines(int count) {
     List<Upstream> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       result.add(engine("m" + i, UpstreamRole.MIXED, "oslo-a", 20));
@@ -104,7 +104,7 @@
     return request(id, promptTokens, fingerprint(id.hashCode()), now);
   }
 
-  static GenerationRequest request(String id, int promptTokens, Fingerprint print, long now) {
+  static GenerationRequest request(String id, int promptTokens, Fingerprint fingerprint, long now) {
     return new GenerationRequest(
         new RequestId(id),
         WORKSPACE,
@@ -113,7 +113,7 @@
         100,
         promptTokens * 4,
         List.of(),
-        print,
+        fingerprint,
         now + 900 * MILLI,
         now + 60 * SECOND);
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -79,7 +79,7 @@
   void reserve(GenerationStream s, RoutingCommand.ReserveEngine c) {
     Instance target = fleet.instance(c.upstream().value());
     if (target == null) {
-      emit(new RoutingEvent.EngineNotReserved(c.attempt(), Failure.REFUSED));
+      emit(new RoutingEvent.EngineReservationFailed(c.attempt(), Failure.REFUSED));
       return;
     }
     EngineTraits engine = s.exchange.service().engine();
@@ -235,7 +235,7 @@
           engine.id(),
           "reserve",
           reason);
-      emit(new RoutingEvent.EngineNotReserved(attempt, failure));
+      emit(new RoutingEvent.EngineReservationFailed(attempt, failure));
     }
   }
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -177,7 +177,7 @@
     }
     s.exchange.recordOutcome("caller_left", null, 0);
     removeStream(s);
-    runner.handle(new RoutingEvent.CallerGone(s.id));
+    runner.handle(new RoutingEvent.CallerDisconnected(s.id));
     return true;
   }
 
@@ -204,8 +204,8 @@
       case RoutingCommand.Refuse c -> refuse(c);
       case RoutingCommand.Complete c -> complete(c.request());
       case RoutingCommand.Explain c -> logDecision(c);
-      case RoutingCommand.SendPeer c -> peers.send(c.to(), c.message());
-      case RoutingCommand.CancelHeld c -> {
+      case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
+      case RoutingCommand.CancelOrphanedAttempt c -> {
         // Engines cancel the work of a dead node themselves when its connections close.
       }
       case RoutingCommand.SetTimer c ->
