--- a/core/src/main/java/org/mustardlatch/core/routing/AdmittingSide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
@@ -18,59 +18,59 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveWithdraw;
 
 /** The cells that this node admits work to. */
-final class AdmittingSide {
+final class AdmissionController {
   // A cell that is asked for by a node with another view of the membership is kept this long.
-  private static final long FOREIGN_IDLE_NANOS = 30_000_000_000L;
-  private static final long RETRY_UNKNOWN_CELL_NANOS = 500_000_000;
+  private static final long UNOWNED_CELL_IDLE_NANOS = 30_000_000_000L;
+  private static final long UNKNOWN_CELL_RETRY_NANOS = 500_000_000;
 
-  private final Effects fx;
+  private final Effects commands;
   private final CellAdmission.Environment environment;
-  private final CellAdmission.CrashListener crashes;
-  private final Map<String, CellAdmission> cells = new HashMap<>();
-  private final LeavingUpstreams leaving;
+  private final CellAdmission.CrashListener crashListener;
+  private final Map<String, CellAdmission> admissions = new HashMap<>();
+  private final LeavingUpstreams leavingUpstreams;
   private Topology topology;
 
-  AdmittingSide(
+  AdmissionController(
       CellAdmission.Environment environment,
       CellAdmission.CrashListener crashes,
       LeavingUpstreams leaving,
       Topology topology) {
-    this.fx = environment.effects();
+    this.commands = environment.commands();
     this.environment = environment;
-    this.crashes = crashes;
-    this.leaving = leaving;
+    this.crashListener = crashes;
+    this.leavingUpstreams = leaving;
     this.topology = topology;
   }
 
   /** Takes over the cells that this node now admits to and gives up the others. */
   void topologyChanged(Topology next) {
     topology = next;
-    cells.values().removeIf(c -> !keeps(c));
+    admissions.values().removeIf(c -> !shouldKeep(c));
     for (Cell cell : next.cells()) {
-      if (owns(cell)) {
-        cellAdmission(cell).cellChanged(cell);
+      if (admitsTo(cell)) {
+        getOrCreateAdmission(cell).cellChanged(cell);
       }
     }
-    for (CellAdmission c : cells.values()) {
-      c.keepOwners(h -> next.member(h) != null);
+    for (CellAdmission c : admissions.values()) {
+      c.removeReservationsOfDeadNodes(h -> next.member(h) != null);
     }
   }
 
-  private boolean keeps(CellAdmission admission) {
+  private boolean shouldKeep(CellAdmission admission) {
     Cell cell = topology.cell(admission.cell().name());
-    return cell != null && owns(cell);
+    return cell != null && admitsTo(cell);
   }
 
-  private boolean owns(Cell cell) {
-    List<HostId> owners = topology.owners(cell);
-    return !owners.isEmpty() && owners.getFirst().equals(fx.self());
+  private boolean admitsTo(Cell cell) {
+    List<HostId> owners = topology.admittingNodes(cell);
+    return !owners.isEmpty() && owners.getFirst().equals(commands.self());
   }
 
-  private CellAdmission cellAdmission(Cell cell) {
-    CellAdmission c = cells.get(cell.name());
+  private CellAdmission getOrCreateAdmission(Cell cell) {
+    CellAdmission c = admissions.get(cell.name());
     if (c == null) {
-      c = new CellAdmission(cell, environment, crashes, leaving);
-      cells.put(cell.name(), c);
+      c = new CellAdmission(cell, environment, crashListener, leavingUpstreams);
+      admissions.put(cell.name(), c);
     }
     return c;
   }
@@ -78,33 +78,33 @@
   void handle(HostId from, AdmissionMessage message) {
     switch (message) {
       case Reserve r -> {
-        CellAdmission c = find(r.cell());
+        CellAdmission c = findOrCreateAdmission(r.cell());
         if (c == null) {
-          unknownCell(from, r);
+          refuseUnknownCell(from, r);
         } else {
-          c.reserve(Ask.of(r, from, fx.now()));
+          c.reserve(ReservationRequest.of(r, from, commands.now()));
         }
       }
       case ReserveDecode r -> {
-        CellAdmission c = find(r.cell());
+        CellAdmission c = findOrCreateAdmission(r.cell());
         if (c != null) {
-          c.reserve(Ask.of(r, from, fx.now()));
+          c.reserve(ReservationRequest.of(r, from, commands.now()));
         }
       }
       case ReserveWithdraw w -> {
-        CellAdmission c = cells.get(w.cell());
+        CellAdmission c = admissions.get(w.cell());
         if (c != null) {
           c.withdraw(w.attempt());
         }
       }
       case ReservationRenew r -> {
-        CellAdmission c = find(r.cell());
+        CellAdmission c = findOrCreateAdmission(r.cell());
         if (c != null) {
           c.renew(from, r);
         }
       }
       case ReservationRelease r -> {
-        CellAdmission c = cells.get(r.cell());
+        CellAdmission c = admissions.get(r.cell());
         if (c != null) {
           c.release(r);
         }
@@ -113,80 +113,80 @@
     }
   }
 
-  private void unknownCell(HostId from, Reserve r) {
+  private void refuseUnknownCell(HostId from, Reserve r) {
     CellSummary none = new CellSummary(r.cell(), 0, Long.MAX_VALUE / 4);
-    fx.send(
+    commands.send(
         from,
         new ReserveRefused(
-            r.attempt(), ErrorCode.UPSTREAM_UNAVAILABLE, RETRY_UNKNOWN_CELL_NANOS, none));
+            r.attempt(), ErrorCode.UPSTREAM_UNAVAILABLE, UNKNOWN_CELL_RETRY_NANOS, none));
   }
 
   /** Returns the cell, also for a node that takes this one for the admitting node; or null. */
-  private @Nullable CellAdmission find(String name) {
-    CellAdmission known = cells.get(name);
+  private @Nullable CellAdmission findOrCreateAdmission(String name) {
+    CellAdmission known = admissions.get(name);
     if (known != null) {
       return known;
     }
     Cell cell = topology.cell(name);
-    return cell == null ? null : cellAdmission(cell);
+    return cell == null ? null : getOrCreateAdmission(cell);
   }
 
   void loadReported(UpstreamId upstream, LoadReport report) {
-    CellAdmission c = admissionOf(upstream);
+    CellAdmission c = findAdmission(upstream);
     if (c != null) {
       c.loadReported(upstream, report);
     }
   }
 
-  void heldListed(UpstreamId upstream, List<HeldAttempt> held) {
-    CellAdmission c = admissionOf(upstream);
+  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> held) {
+    CellAdmission c = findAdmission(upstream);
     if (c != null) {
-      c.heldListed(upstream, held);
+      c.attemptsListed(upstream, held);
     }
   }
 
   /** Forgets every reservation; after a long pause other nodes have taken the cells over. */
-  void forgetAll() {
-    cells.clear();
+  void dropAllReservations() {
+    admissions.clear();
     topologyChanged(topology);
   }
 
-  private @Nullable CellAdmission admissionOf(UpstreamId upstream) {
-    Cell cell = topology.cellOf(upstream);
-    return cell == null ? null : cells.get(cell.name());
+  private @Nullable CellAdmission findAdmission(UpstreamId upstream) {
+    Cell cell = topology.cellOfEngine(upstream);
+    return cell == null ? null : admissions.get(cell.name());
   }
 
   void tick(String cell) {
-    CellAdmission c = cells.get(cell);
+    CellAdmission c = admissions.get(cell);
     if (c != null) {
       c.tick();
     }
   }
 
   void tickAll() {
-    cells.values().forEach(CellAdmission::tick);
-    cells
+    admissions.values().forEach(CellAdmission::tick);
+    admissions
         .entrySet()
         .removeIf(
             e ->
-                !owns(e.getValue().cell())
-                    && e.getValue().idle()
-                    && fx.now() - e.getValue().idleSinceNanos() > FOREIGN_IDLE_NANOS);
+                !admitsTo(e.getValue().cell())
+                    && e.getValue().isIdle()
+                    && commands.now() - e.getValue().lastActivityNanos() > UNOWNED_CELL_IDLE_NANOS);
   }
 
   int reservationCount() {
-    return cells.values().stream().mapToInt(CellAdmission::reservationCount).sum();
+    return admissions.values().stream().mapToInt(CellAdmission::reservationCount).sum();
   }
 
   int queuedCount() {
-    return cells.values().stream().mapToInt(CellAdmission::queuedCount).sum();
+    return admissions.values().stream().mapToInt(CellAdmission::queuedCount).sum();
   }
 
   /** Returns the engines of the cells that this node is the admitting node of. */
   List<UpstreamId> ownedEngines() {
     List<UpstreamId> result = new ArrayList<>();
-    for (CellAdmission c : cells.values()) {
-      if (owns(c.cell())) {
+    for (CellAdmission c : admissions.values()) {
+      if (admitsTo(c.cell())) {
         c.cell().engines().forEach(u -> result.add(u.id()));
       }
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
@@ -35,7 +35,7 @@
 
   /** Asks the next admitting node of the cell; returns false when every one was asked. */
   boolean askNext(EntryRequest q, Attempt a) {
-    for (HostId host : topology.owners(a.cell)) {
+    for (HostId host : topology.admittingNodes(a.cell)) {
       if (!a.asked.contains(host)) {
         a.asked.add(host);
         ask(q, a, host);
@@ -221,7 +221,7 @@
 
   /** Moves an attempt to the node that admits to its cell now. */
   void ownerChanged(EntryRequest q, Attempt a) {
-    List<HostId> owners = topology.owners(a.cell);
+    List<HostId> owners = topology.admittingNodes(a.cell);
     if (owners.isEmpty()) {
       return;
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -32,7 +32,7 @@
   private final Effects fx;
   private final NodeSettings settings;
   private final CrashEvidence evidence;
-  private final EvidenceSide evidenceSide;
+  private final CrashEvidenceCoordinator evidenceSide;
   private final CellChooser chooser;
   private final Crossing crossing;
   private final AttemptDriver driver;
@@ -45,13 +45,13 @@
 
   AttemptStarter(
       CellAdmission.Environment env,
-      EvidenceSide evidenceSide,
+      CrashEvidenceCoordinator evidenceSide,
       CellChooser chooser,
       Crossing crossing,
       AttemptDriver driver,
       RegionId region,
       Ends ends) {
-    this.fx = env.effects();
+    this.fx = env.commands();
     this.settings = env.settings();
     this.evidence = env.evidence();
     this.evidenceSide = evidenceSide;
@@ -131,7 +131,7 @@
   /** Asks the other region as well while the local queue is long; the first grant is used. */
   void askRemoteToo(EntryRequest q, Attempt a, long waitNanos) {
     long budget = q.request.firstTokenDeadlineNanos() - q.arrivedNanos;
-    boolean isLong = waitNanos > settings.tuning().crossWaitShare() * budget;
+    boolean isLong = waitNanos > settings.policyParameters().crossRegionWaitShare() * budget;
     boolean local = a == q.current && a.cell.region().equals(region);
     if (!isLong || !local || q.askedRemote || q.hedge != null || q.tokensSent > 0) {
       return;
@@ -161,7 +161,7 @@
 
   void askPermission(EntryRequest q) {
     q.waitsForPermission = true;
-    List<HostId> owners = evidenceSide.owners(q.request.fingerprint());
+    List<HostId> owners = evidenceSide.ownersOf(q.request.fingerprint());
     if (owners.isEmpty() || q.permissionAsks >= MAX_PERMISSION_ASKS) {
       // No owner answers; the admitting node still keeps suspects apart.
       permitted(q);
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptTimes.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptTimes.java
@@ -30,7 +30,7 @@
   /** Returns the time after which a first token of this attempt is of no use. */
   long latestUseful(EntryRequest q, Attempt a) {
     long target = a.cell.model().firstTokenTarget().toNanos();
-    long grace = (long) (settings.tuning().lateGrace() * target);
+    long grace = (long) (settings.policyParameters().latePrefillGrace() * target);
     long promised = a.grantedNanos + a.predictedNanos();
     if (q.tokensSent > 0) {
       return Math.min(q.request.finalDeadlineNanos(), promised + MIN_STALL_NANOS);
@@ -41,7 +41,7 @@
   /** Returns the time at which a prefill counts as late. */
   long lateAt(Attempt a) {
     return a.grantedNanos
-        + (long) (a.predictedNanos() * settings.tuning().lateFactor())
+        + (long) (a.predictedNanos() * settings.policyParameters().latePrefillFactor())
         + LATE_SLACK_NANOS;
   }
 
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -38,15 +38,15 @@
   static final long GRANT_MARGIN_NANOS = 2_000_000_000L;
 
   /** How long a reservation in decode lasts without a renewal, nanoseconds. */
-  static final long DECODE_VALID_NANOS = 20_000_000_000L;
+  static final long DECODE_RESERVATION_NANOS = 20_000_000_000L;
 
   // Every answer carries a summary; in a burst they need not be computed anew.
-  private static final long SUMMARY_AGE_NANOS = 2_000_000;
+  private static final long MAX_SUMMARY_AGE_NANOS = 2_000_000;
 
-  private static final int QUEUE_LOOK_AHEAD = 4;
+  private static final int QUEUE_LOOKAHEAD = 4;
   private static final long CRASH_BLOCK_NANOS = 3_000_000_000L;
   // An engine that keeps failing is tried again after 1 s, 2 s, 4 s and so on up to 16 s.
-  private static final int MAX_DOUBLINGS = 4;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final long FAILURE_BLOCK_NANOS = 1_000_000_000L;
   private static final long REFUSAL_BLOCK_NANOS = 150_000_000L;
   // The last ten requests or so make the usual size.
@@ -56,55 +56,55 @@
 
   /** What a cell needs from its node. */
   record Environment(
-      Effects effects, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
+      Effects commands, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
 
   /** Receives crashes that a cell recognised. */
   interface CrashListener {
-    void crashed(UpstreamId upstream, List<Fingerprint> running);
+    void engineCrashed(UpstreamId upstream, List<Fingerprint> running);
   }
 
   private Cell cell;
-  private final Effects fx;
+  private final Effects commands;
   private final CrashEvidence evidence;
   private final NodeSettings settings;
-  private final RetrySpread spread;
-  private final CrashListener crashes;
+  private final RetrySpread retryAfterJitter;
+  private final CrashListener crashListener;
   private final Map<UpstreamId, EngineState> engines = new LinkedHashMap<>();
   private final Map<AttemptId, Reservation> reservations = new HashMap<>();
   private final FairQueue queue = new FairQueue();
-  private final LinkEstimate link = new LinkEstimate();
-  private final DepartureRate departures = new DepartureRate();
+  private final KvTransferLimiter transferLimiter = new KvTransferLimiter();
+  private final DepartureRate departureRate = new DepartureRate();
   private Placer placer;
-  private final LeavingUpstreams leaving;
+  private final LeavingUpstreams leavingUpstreams;
   private final long handoverUntilNanos;
   private @Nullable CellSummary summary;
-  private long summaryNanos;
-  private long idleSinceNanos;
-  private double usualPieces;
+  private long summaryComputedNanos;
+  private long lastActivityNanos;
+  private double averageRequestPieces;
 
   CellAdmission(Cell cell, Environment env, CrashListener crashes, LeavingUpstreams leaving) {
     this.cell = cell;
-    this.fx = env.effects();
+    this.commands = env.commands();
     this.evidence = env.evidence();
     this.settings = env.settings();
-    this.spread = new RetrySpread(env.random());
-    this.crashes = crashes;
-    this.leaving = leaving;
+    this.retryAfterJitter = new RetrySpread(env.random());
+    this.crashListener = crashes;
+    this.leavingUpstreams = leaving;
     this.placer = placer(cell);
-    this.handoverUntilNanos = fx.now() + HANDOVER_NANOS;
-    this.idleSinceNanos = fx.now();
+    this.handoverUntilNanos = commands.now() + HANDOVER_NANOS;
+    this.lastActivityNanos = commands.now();
   }
 
   Cell cell() {
     return cell;
   }
 
-  boolean idle() {
+  boolean isIdle() {
     return reservations.isEmpty() && queue.size() == 0;
   }
 
-  long idleSinceNanos() {
-    return idleSinceNanos;
+  long lastActivityNanos() {
+    return lastActivityNanos;
   }
 
   int reservationCount() {
@@ -115,50 +115,52 @@
     return queue.size();
   }
 
-  /** Returns the capacity of the cell, at most {@link #SUMMARY_AGE_NANOS} old. */
+  /** Returns the capacity of the cell, at most {@link #MAX_SUMMARY_AGE_NANOS} old. */
   CellSummary summary() {
-    long now = fx.now();
+    long now = commands.now();
     CellSummary known = summary;
-    if (known == null || now - summaryNanos >= SUMMARY_AGE_NANOS) {
-      int free = Math.max(0, freeDecodeSlots() - queue.size());
-      known = new CellSummary(cell.name(), free, predictedWait(null));
+    if (known == null || now - summaryComputedNanos >= MAX_SUMMARY_AGE_NANOS) {
+      int free = Math.max(0, freeDecodeCapacity() - queue.size());
+      known = new CellSummary(cell.name(), free, predictedWaitNanos(null));
       summary = known;
-      summaryNanos = now;
+      summaryComputedNanos = now;
     }
     return known;
   }
 
-  /** Answers an ask with a grant, a place in the queue or a refusal; a repeated one likewise. */
-  void reserve(Ask ask) {
-    idleSinceNanos = fx.now();
-    Reservation held = reservations.get(ask.attempt());
+  /**
+   * Answers an request with a grant, a place in the queue or a refusal; a repeated one likewise.
+   */
+  void reserve(ReservationRequest request) {
+    lastActivityNanos = commands.now();
+    Reservation held = reservations.get(request.attempt());
     if (held != null) {
       sendGrant(held);
       return;
     }
-    if (queue.contains(ask.attempt())) {
-      sendQueued(ask);
+    if (queue.contains(request.attempt())) {
+      sendQueued(request);
       return;
     }
-    learnSize(ask);
-    if (evidence.standing(ask.fingerprint(), fx.now()) == Standing.QUARANTINED) {
-      refuse(ask, ErrorCode.REQUEST_QUARANTINED, Duration.ZERO);
+    updateAverageSize(request);
+    if (evidence.standing(request.fingerprint(), commands.now()) == Standing.QUARANTINED) {
+      refuse(request, ErrorCode.REQUEST_QUARANTINED, Duration.ZERO);
       return;
     }
-    if (queue.size() > 0 && ask.source() == null) {
-      enqueue(ask);
-      pump();
+    if (queue.size() > 0 && request.kvSource() == null) {
+      enqueue(request);
+      serveQueue();
       return;
     }
-    switch (tryGrant(ask)) {
+    switch (tryGrant(request)) {
       case GRANTED -> {}
-      case TOO_LATE -> refuseOverloaded(ask);
-      case NO_ROOM -> {
-        if (ask.source() != null) {
+      case DEADLINE_UNREACHABLE -> refuseOverloaded(request);
+      case NO_CAPACITY -> {
+        if (request.kvSource() != null) {
           // The KV cache may expire while it waits, and the entry node has a better way out.
-          refuseOverloaded(ask);
+          refuseOverloaded(request);
         } else {
-          enqueue(ask);
+          enqueue(request);
         }
       }
     }
@@ -168,8 +170,8 @@
     queue.remove(attempt);
     Reservation r = reservations.remove(attempt);
     if (r != null) {
-      free(r, false);
-      pump();
+      freeReservation(r, false);
+      serveQueue();
     }
   }
 
@@ -177,28 +179,28 @@
   void renew(HostId from, ReservationRenew renew) {
     Reservation r = reservations.get(renew.attempt());
     if (r == null) {
-      adopt(from, renew);
+      adoptReservation(from, renew);
       return;
     }
-    if (r.source == null) {
-      moveAdopted(r, renew);
+    if (r.kvSource == null) {
+      moveAdoptedReservation(r, renew);
     }
     if (renew.stage() == Stage.TRANSFER && r.stage == Stage.PREFILL) {
-      if (r.prefill != null) {
-        r.prefill.failures = 0;
+      if (r.prefillEngine != null) {
+        r.prefillEngine.consecutiveFailures = 0;
       }
-      prefillEnded(r, true);
-      enter(r, Stage.TRANSFER);
+      endPrefill(r, true);
+      enterStage(r, Stage.TRANSFER);
     } else if (renew.stage() == Stage.DECODE && r.stage != Stage.DECODE) {
-      transferEnded(r, true);
-      enter(r, Stage.DECODE);
-      r.tokensAtNanos = fx.now();
+      endTransfer(r, true);
+      enterStage(r, Stage.DECODE);
+      r.tokensUpdatedNanos = commands.now();
       r.tokensSoFar = renew.tokensSoFar();
     } else if (renew.stage() == Stage.DECODE) {
-      observeTokens(r, renew.tokensSoFar());
+      recordTokenProgress(r, renew.tokensSoFar());
     }
-    r.expiresNanos = fx.now() + DECODE_VALID_NANOS;
-    pump();
+    r.expiresNanos = commands.now() + DECODE_RESERVATION_NANOS;
+    serveQueue();
   }
 
   /** Frees what an attempt holds and takes note of how it ended. */
@@ -207,25 +209,25 @@
     Reservation r = reservations.get(release.attempt());
     EngineState e = engines.get(release.upstream());
     if (e != null) {
-      note(e, r, release.outcome());
+      recordOutcome(e, r, release.outcome());
     }
     if (r != null) {
       reservations.remove(release.attempt());
-      free(r, release.outcome() == Outcome.FINISHED);
+      freeReservation(r, release.outcome() == Outcome.FINISHED);
     }
-    idleSinceNanos = fx.now();
-    pump();
+    lastActivityNanos = commands.now();
+    serveQueue();
   }
 
   void loadReported(UpstreamId upstream, LoadReport report) {
     EngineState e = engines.get(upstream);
     if (e != null) {
-      e.reportedRunning = report.runningRequests();
+      e.reportedRunningRequests = report.runningRequests();
     }
   }
 
   /** Counts the attempts of other nodes that this one has no reservation for. */
-  void heldListed(UpstreamId upstream, List<HeldAttempt> held) {
+  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> held) {
     EngineState e = engines.get(upstream);
     if (e == null) {
       return;
@@ -233,17 +235,17 @@
     int unknown = 0;
     Set<String> known = new HashSet<>();
     for (Reservation r : reservations.values()) {
-      if (r.prefill == e || r.decode == e) {
+      if (r.prefillEngine == e || r.decodeEngine == e) {
         known.add(r.attempt.toString());
       }
     }
-    for (HeldAttempt h : held) {
+    for (ReportedAttempt h : held) {
       if (!known.contains(h.attempt())) {
         unknown++;
       }
     }
-    e.unaccounted = unknown;
-    pump();
+    e.unreservedAttempts = unknown;
+    serveQueue();
   }
 
   /** Takes over a new list of engines; what is reserved on those that stay is kept. */
@@ -266,260 +268,265 @@
       }
       engines.put(u.id(), e);
     }
-    return new Placer(next, engines.values(), leaving);
+    return new Placer(next, engines.values(), leavingUpstreams);
   }
 
   /** Drops what nodes hold that are gone. */
-  void keepOwners(Predicate<HostId> alive) {
+  void removeReservationsOfDeadNodes(Predicate<HostId> alive) {
     for (Reservation r : new ArrayList<>(reservations.values())) {
       if (!alive.test(r.owner)) {
         reservations.remove(r.attempt);
-        free(r, false);
+        freeReservation(r, false);
       }
     }
-    for (Ask a : queue.all()) {
-      if (!alive.test(a.from())) {
+    for (ReservationRequest a : queue.allRequests()) {
+      if (!alive.test(a.requester())) {
         queue.remove(a.attempt());
       }
     }
-    pump();
+    serveQueue();
   }
 
   /** Drops reservations that were not renewed and serves the queue. */
   void tick() {
-    long now = fx.now();
-    placer.relaxIdle(now);
-    link.relax(now);
+    long now = commands.now();
+    placer.decayIdleEstimates(now);
+    transferLimiter.decayEstimate(now);
     for (Reservation r : new ArrayList<>(reservations.values())) {
       if (now >= r.expiresNanos) {
         reservations.remove(r.attempt);
-        free(r, false);
+        freeReservation(r, false);
       }
     }
-    for (Ask ask : queue.all()) {
-      if (now >= ask.firstTokenDeadlineNanos()) {
-        queue.remove(ask.attempt());
-        refuseOverloaded(ask);
+    for (ReservationRequest request : queue.allRequests()) {
+      if (now >= request.firstTokenDeadlineNanos()) {
+        queue.remove(request.attempt());
+        refuseOverloaded(request);
       }
     }
-    pump();
+    serveQueue();
   }
 
-  private enum Result {
+  private enum GrantResult {
     GRANTED,
-    NO_ROOM,
-    TOO_LATE
+    NO_CAPACITY,
+    DEADLINE_UNREACHABLE
   }
 
-  private void pump() {
+  private void serveQueue() {
     boolean progress = true;
-    while (progress && queue.size() > 0 && placer.mayHaveRoom(fx.now())) {
+    while (progress && queue.size() > 0 && placer.mayHaveCapacity(commands.now())) {
       progress = false;
-      for (Ask ask : queue.first(QUEUE_LOOK_AHEAD)) {
-        Result result = tryGrant(ask);
-        if (result == Result.GRANTED) {
-          queue.served(ask.attempt());
+      for (ReservationRequest request : queue.nextRequests(QUEUE_LOOKAHEAD)) {
+        GrantResult result = tryGrant(request);
+        if (result == GrantResult.GRANTED) {
+          queue.removeServed(request.attempt());
           progress = true;
           break;
         }
-        if (result == Result.TOO_LATE) {
-          queue.remove(ask.attempt());
-          refuseOverloaded(ask);
+        if (result == GrantResult.DEADLINE_UNREACHABLE) {
+          queue.remove(request.attempt());
+          refuseOverloaded(request);
           progress = true;
           break;
         }
       }
     }
     if (queue.size() > 0) {
-      long wait = Math.clamp(placer.nextPrefillNanos(fx.now()), 2_000_000, 20_000_000);
-      fx.timer("cell", cell.name(), fx.now() + wait);
+      long wait = Math.clamp(placer.nanosUntilNextPrefill(commands.now()), 2_000_000, 20_000_000);
+      commands.timer("cell", cell.name(), commands.now() + wait);
     }
   }
 
-  private Result tryGrant(Ask ask) {
-    long now = fx.now();
-    if (ask.source() == null && !link.hasRoom()) {
-      return Result.NO_ROOM;
+  private GrantResult tryGrant(ReservationRequest request) {
+    long now = commands.now();
+    if (request.kvSource() == null && !transferLimiter.hasFreeCapacity()) {
+      return GrantResult.NO_CAPACITY;
     }
-    boolean suspect = evidence.standing(ask.fingerprint(), now) != Standing.CLEAN;
-    Placer.Placement p = placer.place(ask, suspect, link, now < handoverUntilNanos, now);
+    boolean suspect = evidence.standing(request.fingerprint(), now) != Standing.CLEAN;
+    Placer.Placement p =
+        placer.place(request, suspect, transferLimiter, now < handoverUntilNanos, now);
     if (p == null) {
-      return Result.NO_ROOM;
+      return GrantResult.NO_CAPACITY;
     }
-    if (now + p.firstTokenNanos() > latest(ask) && !acceptsLate(ask, p)) {
-      return Result.TOO_LATE;
+    if (now + p.firstTokenNanos() > latestFirstTokenNanos(request)
+        && !mayExceedDeadline(request, p)) {
+      return GrantResult.DEADLINE_UNREACHABLE;
     }
-    grant(ask, p, suspect);
-    return Result.GRANTED;
+    grant(request, p, suspect);
+    return GrantResult.GRANTED;
   }
 
-  private long latest(Ask ask) {
-    double margin = ask.source() == null ? settings.tuning().deadlineMargin() : 0;
-    return ask.firstTokenDeadlineNanos() - (long) (margin * ask.budgetNanos());
+  private long latestFirstTokenNanos(ReservationRequest request) {
+    double margin =
+        request.kvSource() == null ? settings.policyParameters().deadlineMarginShare() : 0;
+    return request.firstTokenDeadlineNanos() - (long) (margin * request.budgetNanos());
   }
 
   /** Returns whether a prompt too long for its deadline on any engine may use spare capacity. */
-  private boolean acceptsLate(Ask ask, Placer.Placement p) {
-    return ask.source() == null
-        && p.nominalNanos() > ask.budgetNanos() * (1 - settings.tuning().deadlineMargin())
+  private boolean mayExceedDeadline(ReservationRequest request, Placer.Placement p) {
+    return request.kvSource() == null
+        && p.nominalPrefillNanos()
+            > request.budgetNanos() * (1 - settings.policyParameters().deadlineMarginShare())
         && queue.size() <= 1
-        && 2 * freeDecodeSlots() > usableDecodeSlots();
+        && 2 * freeDecodeCapacity() > totalDecodeCapacity();
   }
 
-  private void grant(Ask ask, Placer.Placement p, boolean suspect) {
-    long now = fx.now();
-    long bytes = cell.model().kvBytesPerToken() * ask.promptTokens();
+  private void grant(ReservationRequest request, Placer.Placement p, boolean suspect) {
+    long now = commands.now();
+    long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
     Reservation r =
         new Reservation(
-            ask.attempt(),
-            ask.from(),
-            ask.fingerprint(),
-            ask.prefillPieces(cell.model().memoryPieceTokens()),
-            ask.decodePieces(cell.model().memoryPieceTokens()),
+            request.attempt(),
+            request.requester(),
+            request.fingerprint(),
+            request.prefillMemoryPieces(cell.model().memoryPieceTokens()),
+            request.decodeMemoryPieces(cell.model().memoryPieceTokens()),
             bytes);
     r.suspect = suspect;
-    r.nominalNanos = p.nominalNanos();
+    r.nominalPrefillNanos = p.nominalPrefillNanos();
     r.expiresNanos = now + p.firstTokenNanos() + GRANT_MARGIN_NANOS;
-    r.stageSinceNanos = now;
-    EngineState prefill = p.prefill();
+    r.stageStartNanos = now;
+    EngineState prefill = p.prefillEngine();
     if (prefill == null) {
       r.stage = Stage.TRANSFER;
     } else {
       // On a mixed engine that does both, prompt and answer share one slot and one allocation.
-      hold(prefill, r, prefill == p.decode() ? r.decodePieces : r.prefillPieces);
-      r.prefill = prefill;
-      r.source = prefill.upstream.id();
-      prefill.prefixes.add(ask.prefixBlocks());
+      reserveSlot(prefill, r, prefill == p.decodeEngine() ? r.decodePieces : r.prefillPieces);
+      r.prefillEngine = prefill;
+      r.kvSource = prefill.upstream.id();
+      prefill.prefixIndex.add(request.prefixBlocks());
       prefill.prefillGranted(r, now);
       if (placer.isProbe(prefill, now)) {
-        prefill.probes.sent(now);
+        prefill.probeLimiter.probeSent(now);
       }
     }
-    if (ask.source() != null) {
-      r.source = ask.source();
+    if (request.kvSource() != null) {
+      r.kvSource = request.kvSource();
     }
-    if (p.decode() != prefill) {
-      hold(p.decode(), r, r.decodePieces);
+    if (p.decodeEngine() != prefill) {
+      reserveSlot(p.decodeEngine(), r, r.decodePieces);
     }
-    r.decode = p.decode();
-    p.decode().grantedSlots++;
-    if (placer.isProbe(p.decode(), now)) {
-      p.decode().probes.sent(now);
+    r.decodeEngine = p.decodeEngine();
+    p.decodeEngine().locallyGrantedDecodeSlots++;
+    if (placer.isProbe(p.decodeEngine(), now)) {
+      p.decodeEngine().probeLimiter.probeSent(now);
     }
-    link.reserve();
-    r.linkHeld = true;
+    transferLimiter.acquire();
+    r.transferReserved = true;
     reservations.put(r.attempt, r);
     sendGrant(r);
   }
 
-  private static void hold(EngineState e, Reservation r, int pieces) {
-    e.heldSlots++;
-    e.heldPieces += pieces;
-    e.suspects += r.suspect ? 1 : 0;
+  private static void reserveSlot(EngineState e, Reservation r, int pieces) {
+    e.reservedSlots++;
+    e.reservedPieces += pieces;
+    e.suspectCount += r.suspect ? 1 : 0;
   }
 
-  private static void letGo(EngineState e, Reservation r, int pieces) {
-    e.heldSlots--;
-    e.heldPieces -= pieces;
-    e.suspects -= r.suspect ? 1 : 0;
+  private static void releaseSlot(EngineState e, Reservation r, int pieces) {
+    e.reservedSlots--;
+    e.reservedPieces -= pieces;
+    e.suspectCount -= r.suspect ? 1 : 0;
   }
 
-  private void enter(Reservation r, Stage stage) {
+  private void enterStage(Reservation r, Stage stage) {
     r.stage = stage;
-    r.stageSinceNanos = fx.now();
+    r.stageStartNanos = commands.now();
   }
 
-  private void prefillEnded(Reservation r, boolean finished) {
-    if (r.prefill != null) {
-      r.prefill.prefillEnded(r, fx.now(), finished);
+  private void endPrefill(Reservation r, boolean finished) {
+    if (r.prefillEngine != null) {
+      r.prefillEngine.prefillEnded(r, commands.now(), finished);
     }
   }
 
-  private void transferEnded(Reservation r, boolean finished) {
-    long now = fx.now();
+  private void endTransfer(Reservation r, boolean finished) {
+    long now = commands.now();
     if (r.stage == Stage.PREFILL) {
-      prefillEnded(r, false);
-    } else if (finished && r.decode != null && r.prefill != r.decode) {
-      long duration = now - r.stageSinceNanos;
-      long predicted = link.transferNanos(r.kvBytes);
+      endPrefill(r, false);
+    } else if (finished && r.decodeEngine != null && r.prefillEngine != r.decodeEngine) {
+      long duration = now - r.stageStartNanos;
+      long predicted = transferLimiter.predictedTransferNanos(r.kvBytes);
       if (predicted > 0) {
-        r.decode.transferPace.observe(duration, predicted);
+        r.decodeEngine.transferSlowdown.observe(duration, predicted);
       }
-      link.observe(r.kvBytes, duration, now);
+      transferLimiter.recordTransfer(r.kvBytes, duration, now);
     }
-    if (r.linkHeld) {
-      link.release();
-      r.linkHeld = false;
+    if (r.transferReserved) {
+      transferLimiter.release();
+      r.transferReserved = false;
     }
-    if (r.prefill != null && r.prefill != r.decode) {
-      letGo(r.prefill, r, r.prefillPieces);
+    if (r.prefillEngine != null && r.prefillEngine != r.decodeEngine) {
+      releaseSlot(r.prefillEngine, r, r.prefillPieces);
     }
-    r.prefill = null;
+    r.prefillEngine = null;
   }
 
-  private void free(Reservation r, boolean finished) {
+  private void freeReservation(Reservation r, boolean finished) {
     if (r.stage != Stage.DECODE) {
-      transferEnded(r, false);
+      endTransfer(r, false);
     }
-    if (r.decode != null) {
-      letGo(r.decode, r, r.decodePieces);
-      r.decode.grantedSlots -= r.source == null ? 0 : 1;
-      r.decode = null;
+    if (r.decodeEngine != null) {
+      releaseSlot(r.decodeEngine, r, r.decodePieces);
+      r.decodeEngine.locallyGrantedDecodeSlots -= r.kvSource == null ? 0 : 1;
+      r.decodeEngine = null;
       if (finished) {
-        departures.departed(fx.now());
+        departureRate.recordDeparture(commands.now());
       }
     }
   }
 
-  private void observeTokens(Reservation r, int tokens) {
-    long now = fx.now();
+  private void recordTokenProgress(Reservation r, int tokens) {
+    long now = commands.now();
     int count = tokens - r.tokensSoFar;
-    if (r.decode != null && count > 0) {
+    if (r.decodeEngine != null && count > 0) {
       long predicted = cell.model().tokenGapTarget().toNanos() * count;
-      r.decode.tokenPace.observe(now - r.tokensAtNanos, predicted);
+      r.decodeEngine.tokenSlowdown.observe(now - r.tokensUpdatedNanos, predicted);
     }
     r.tokensSoFar = tokens;
-    r.tokensAtNanos = now;
+    r.tokensUpdatedNanos = now;
   }
 
   /** Takes over a reservation that another admitting node granted. */
-  private void adopt(HostId from, ReservationRenew renew) {
+  private void adoptReservation(HostId from, ReservationRenew renew) {
     EngineState e = engines.get(renew.upstream());
     if (e == null) {
       return;
     }
     Reservation r = new Reservation(renew.attempt(), from, null, 0, 1, 0);
     r.stage = Stage.DECODE;
-    r.decode = e;
-    r.stageSinceNanos = fx.now();
+    r.decodeEngine = e;
+    r.stageStartNanos = commands.now();
     r.tokensSoFar = renew.tokensSoFar();
-    r.tokensAtNanos = fx.now();
-    r.expiresNanos = fx.now() + DECODE_VALID_NANOS;
-    hold(e, r, r.decodePieces);
+    r.tokensUpdatedNanos = commands.now();
+    r.expiresNanos = commands.now() + DECODE_RESERVATION_NANOS;
+    reserveSlot(e, r, r.decodePieces);
     reservations.put(r.attempt, r);
   }
 
   /** Follows an adopted reservation from its prefill engine to its decode engine. */
-  private void moveAdopted(Reservation r, ReservationRenew renew) {
+  private void moveAdoptedReservation(Reservation r, ReservationRenew renew) {
     EngineState next = engines.get(renew.upstream());
-    if (next != null && r.decode != null && next != r.decode) {
-      letGo(r.decode, r, r.decodePieces);
-      hold(next, r, r.decodePieces);
-      r.decode = next;
+    if (next != null && r.decodeEngine != null && next != r.decodeEngine) {
+      releaseSlot(r.decodeEngine, r, r.decodePieces);
+      reserveSlot(next, r, r.decodePieces);
+      r.decodeEngine = next;
     }
   }
 
-  private void note(EngineState e, @Nullable Reservation r, Outcome outcome) {
-    long now = fx.now();
+  private void recordOutcome(EngineState e, @Nullable Reservation r, Outcome outcome) {
+    long now = commands.now();
     switch (outcome) {
       case FINISHED, CANCELLED -> {}
       case REFUSED ->
           e.blockedUntilNanos = Math.max(e.blockedUntilNanos, now + REFUSAL_BLOCK_NANOS);
       case FAILED -> {
-        e.block(now, FAILURE_BLOCK_NANOS << Math.min(MAX_DOUBLINGS, e.failures));
-        e.failures++;
+        e.blockFor(
+            now, FAILURE_BLOCK_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, e.consecutiveFailures));
+        e.consecutiveFailures++;
         if (r != null && r.stage == Stage.TRANSFER) {
-          link.congested(now);
+          transferLimiter.reduceLimit(now);
         }
       }
       case CRASHED -> crashed(e, r);
@@ -527,108 +534,115 @@
   }
 
   private void crashed(EngineState e, @Nullable Reservation reporting) {
-    long now = fx.now();
-    e.block(now, CRASH_BLOCK_NANOS);
-    e.prefixes.clear();
-    e.unaccounted = 0;
-    if (reporting == null || reporting.inCrashOf == e) {
+    long now = commands.now();
+    e.blockFor(now, CRASH_BLOCK_NANOS);
+    e.prefixIndex.clear();
+    e.unreservedAttempts = 0;
+    if (reporting == null || reporting.countedCrashEngine == e) {
       // Every entry node reports the same crash for its own attempts.
       return;
     }
     List<Fingerprint> running = new ArrayList<>();
     for (Reservation r : reservations.values()) {
-      boolean inDecode = r.decode == e && r.stage != Stage.PREFILL;
-      if ((r.prefill == e || inDecode) && r.inCrashOf != e) {
-        r.inCrashOf = e;
+      boolean inDecode = r.decodeEngine == e && r.stage != Stage.PREFILL;
+      if ((r.prefillEngine == e || inDecode) && r.countedCrashEngine != e) {
+        r.countedCrashEngine = e;
         if (r.fingerprint != null) {
           running.add(r.fingerprint);
         }
       }
     }
-    crashes.crashed(e.upstream.id(), running);
+    crashListener.engineCrashed(e.upstream.id(), running);
   }
 
-  private void enqueue(Ask ask) {
-    long wait = predictedWait(ask);
-    if (fx.now() + wait + shortestService(ask) > latest(ask)) {
-      refuseOverloaded(ask);
+  private void enqueue(ReservationRequest request) {
+    long wait = predictedWaitNanos(request);
+    if (commands.now() + wait + shortestServiceNanos(request) > latestFirstTokenNanos(request)) {
+      refuseOverloaded(request);
       return;
     }
-    queue.add(ask, settings.weight(ask.workspace()));
-    sendQueued(ask);
-    pump();
+    queue.add(request, settings.workspaceWeight(request.workspace()));
+    sendQueued(request);
+    serveQueue();
   }
 
-  private void learnSize(Ask ask) {
-    int pieces = ask.decodePieces(cell.model().memoryPieceTokens());
-    usualPieces =
-        usualPieces == 0 ? pieces : usualPieces + NEWEST_SIZE_WEIGHT * (pieces - usualPieces);
+  private void updateAverageSize(ReservationRequest request) {
+    int pieces = request.decodeMemoryPieces(cell.model().memoryPieceTokens());
+    averageRequestPieces =
+        averageRequestPieces == 0
+            ? pieces
+            : averageRequestPieces + NEWEST_SIZE_WEIGHT * (pieces - averageRequestPieces);
   }
 
   /** Returns the requests of the usual size that there is room for: slots and KV memory count. */
-  private int freeDecodeSlots() {
-    return placer.freeDecodeSlots((int) usualPieces, fx.now());
+  private int freeDecodeCapacity() {
+    return placer.freeDecodeCapacity((int) averageRequestPieces, commands.now());
   }
 
-  private int usableDecodeSlots() {
-    return placer.usableDecodeSlots((int) usualPieces, fx.now());
+  private int totalDecodeCapacity() {
+    return placer.totalDecodeCapacity((int) averageRequestPieces, commands.now());
   }
 
-  private long shortestService(Ask ask) {
+  private long shortestServiceNanos(ReservationRequest request) {
     double rate = 0;
-    for (EngineState e : placer.prefills()) {
-      rate = Math.max(rate, e.upstream.prefillTokensPerSecond() / e.prefillPace.ratio());
+    for (EngineState e : placer.prefillEngines()) {
+      rate = Math.max(rate, e.upstream.prefillTokensPerSecond() / e.prefillSlowdown.ratio());
     }
-    long bytes = cell.model().kvBytesPerToken() * ask.promptTokens();
-    return (long) (ask.promptTokens() * 1e9 / Math.max(1, rate)) + link.transferNanos(bytes);
+    long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
+    return (long) (request.promptTokens() * 1e9 / Math.max(1, rate))
+        + transferLimiter.predictedTransferNanos(bytes);
   }
 
   /** Returns the predicted wait of a request before its prefill, nanoseconds. */
-  private long predictedWait(@Nullable Ask ask) {
-    long now = fx.now();
-    WorkspaceId workspace = ask == null ? null : ask.workspace();
-    long tokens = workspace == null ? queue.tokensWaiting() : queue.tokensBefore(workspace);
+  private long predictedWaitNanos(@Nullable ReservationRequest request) {
+    long now = commands.now();
+    WorkspaceId workspace = request == null ? null : request.workspace();
+    long tokens =
+        workspace == null ? queue.queuedPromptTokens() : queue.promptTokensAhead(workspace);
     double rate = placer.prefillTokensPerNano(now);
-    long next = placer.nextPrefillNanos(now);
+    long next = placer.nanosUntilNextPrefill(now);
     if (rate <= 0 || next == Long.MAX_VALUE) {
       return Long.MAX_VALUE / 4;
     }
     long prefillWait = next + (long) (tokens / rate);
-    int missing = queue.size() + 1 - freeDecodeSlots();
+    int missing = queue.size() + 1 - freeDecodeCapacity();
     if (missing <= 0) {
       return prefillWait;
     }
-    double initial = INITIAL_DEPARTURES_PER_SLOT * Math.max(1, usableDecodeSlots());
-    return Math.max(prefillWait, (long) (missing * 1e9 / departures.perSecond(now, initial)));
+    double initial = INITIAL_DEPARTURES_PER_SLOT * Math.max(1, totalDecodeCapacity());
+    return Math.max(prefillWait, (long) (missing * 1e9 / departureRate.perSecond(now, initial)));
   }
 
-  private void refuseOverloaded(Ask ask) {
-    long budget = Math.max(1, ask.budgetNanos());
-    Duration after = spread.draw(summary().predictedWaitNanos(), budget);
-    boolean none = usableDecodeSlots() == 0;
-    refuse(ask, none ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
+  private void refuseOverloaded(ReservationRequest request) {
+    long budget = Math.max(1, request.budgetNanos());
+    Duration after = retryAfterJitter.draw(summary().predictedWaitNanos(), budget);
+    boolean none = totalDecodeCapacity() == 0;
+    refuse(request, none ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
   }
 
-  private void refuse(Ask ask, ErrorCode code, Duration after) {
-    fx.send(ask.from(), new ReserveRefused(ask.attempt(), code, after.toNanos(), summary()));
+  private void refuse(ReservationRequest request, ErrorCode code, Duration after) {
+    commands.send(
+        request.requester(),
+        new ReserveRefused(request.attempt(), code, after.toNanos(), summary()));
   }
 
-  private void sendQueued(Ask ask) {
-    fx.send(
-        ask.from(), new ReserveQueued(ask.attempt(), summary().predictedWaitNanos(), summary()));
+  private void sendQueued(ReservationRequest request) {
+    commands.send(
+        request.requester(),
+        new ReserveQueued(request.attempt(), summary().predictedWaitNanos(), summary()));
   }
 
   private void sendGrant(Reservation r) {
-    if (r.decode == null || r.source == null) {
+    if (r.decodeEngine == null || r.kvSource == null) {
       return;
     }
-    fx.send(
+    commands.send(
         r.owner,
         new ReserveGranted(
             r.attempt,
-            r.source,
-            r.decode.upstream.id(),
-            Math.max(1, r.expiresNanos - fx.now()),
+            r.kvSource,
+            r.decodeEngine.upstream.id(),
+            Math.max(1, r.expiresNanos - commands.now()),
             summary()));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -52,7 +52,7 @@
     for (RegionId other : topology.regions()) {
       if (!other.equals(region)) {
         for (Cell c : candidates(topology.cells(model, other), refused)) {
-          if (fits.test(c) && mayHaveRoom(c, now) && !topology.owners(c).isEmpty()) {
+          if (fits.test(c) && mayHaveRoom(c, now) && !topology.admittingNodes(c).isEmpty()) {
             cells.add(c);
           }
         }
@@ -81,7 +81,7 @@
     }
     Cell a = cells.get(random.nextInt(cells.size()));
     Cell b = cells.get(random.nextInt(cells.size()));
-    return score(a) <= score(b) && !topology.owners(a).isEmpty() ? a : b;
+    return score(a) <= score(b) && !topology.admittingNodes(a).isEmpty() ? a : b;
   }
 
   private double score(Cell cell) {
--- a/core/src/main/java/org/mustardlatch/core/routing/EvidenceSide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
@@ -15,26 +15,27 @@
 import org.mustardlatch.core.quarantine.SuspectRuns;
 
 /** Crash evidence of the fleet as this node knows it, and the permissions that it gives. */
-final class EvidenceSide implements CellAdmission.CrashListener {
+final class CrashEvidenceCoordinator implements CellAdmission.CrashListener {
   // Two admitting nodes may report one crash while a cell changes hands. Engines take longer than
   // this to come back, so two reports within it are about the same crash.
-  private static final long SAME_CRASH_NANOS = 2_500_000_000L;
+  private static final long DUPLICATE_REPORT_NANOS = 2_500_000_000L;
 
   // Bounds what a joining node is sent; crashes are few in the 10 min that evidence lasts.
-  private static final int MAX_RECENT = 200;
+  private static final int MAX_RECENT_REPORTS = 200;
 
-  private record Recent(CrashReport report, long atNanos) {}
+  private record RecentReport(CrashReport report, long receivedNanos) {}
 
-  private final Effects fx;
+  private final Effects commands;
   private final CrashEvidence evidence;
-  private final SuspectRuns runs = new SuspectRuns();
-  private final ArrayDeque<Recent> recent = new ArrayDeque<>();
+  private final SuspectRuns suspectRuns = new SuspectRuns();
+  private final ArrayDeque<RecentReport> recentReports = new ArrayDeque<>();
   private Topology topology;
-  private long crashes;
+  private long crashCount;
   private long incarnation;
 
-  EvidenceSide(Effects fx, CrashEvidence evidence, Topology topology, long incarnation) {
-    this.fx = fx;
+  CrashEvidenceCoordinator(
+      Effects fx, CrashEvidence evidence, Topology topology, long incarnation) {
+    this.commands = fx;
     this.evidence = evidence;
     this.topology = topology;
     this.incarnation = incarnation;
@@ -47,86 +48,88 @@
 
   /** Records a crash that this node recognised and tells every node. */
   @Override
-  public void crashed(UpstreamId upstream, List<Fingerprint> running) {
-    crashes++;
-    String id = fx.self() + "/" + incarnation + "/" + crashes;
+  public void engineCrashed(UpstreamId upstream, List<Fingerprint> running) {
+    crashCount++;
+    String id = commands.self() + "/" + incarnation + "/" + crashCount;
     CrashReport report = new CrashReport(upstream, id, running);
-    record(report);
+    recordReport(report);
     broadcast(report);
   }
 
   /** Tells every node that a suspect ran to its end. */
-  void cleared(Fingerprint fingerprint) {
+  void clearSuspect(Fingerprint fingerprint) {
     evidence.clear(fingerprint);
-    runs.ended(fingerprint);
+    suspectRuns.ended(fingerprint);
     broadcast(new Cleared(fingerprint));
   }
 
   /** Returns the nodes that own a fingerprint, the owner first. */
-  List<HostId> owners(Fingerprint fingerprint) {
-    return topology.ownersOf(fingerprint.value());
+  List<HostId> ownersOf(Fingerprint fingerprint) {
+    return topology.rankedOwners(fingerprint.value());
   }
 
   /** Handles a message; permissions for requests of this node are not handled here. */
   void handle(HostId from, EvidenceMessage message) {
     switch (message) {
-      case CrashReport r -> record(r);
+      case CrashReport r -> recordReport(r);
       case Cleared c -> {
         evidence.clear(c.fingerprint());
-        runs.ended(c.fingerprint());
+        suspectRuns.ended(c.fingerprint());
       }
       case RunRequest r -> {
         Verdict verdict =
-            runs.ask(
+            suspectRuns.ask(
                 r.fingerprint(),
                 r.attempt(),
-                evidence.standing(r.fingerprint(), fx.now()),
-                fx.now());
-        fx.send(from, new RunPermission(r.fingerprint(), r.attempt(), verdict));
+                evidence.standing(r.fingerprint(), commands.now()),
+                commands.now());
+        commands.send(from, new RunPermission(r.fingerprint(), r.attempt(), verdict));
       }
       default -> throw new IllegalArgumentException("not about crash evidence: " + message);
     }
   }
 
   void tick() {
-    runs.expire(fx.now());
-    recent.removeIf(r -> fx.now() - r.atNanos() >= CrashEvidence.LIFETIME_NANOS);
+    suspectRuns.expire(commands.now());
+    recentReports.removeIf(r -> commands.now() - r.receivedNanos() >= CrashEvidence.LIFETIME_NANOS);
   }
 
   void broadcast(EvidenceMessage message) {
     for (Member m : topology.members()) {
-      if (!m.host().equals(fx.self())) {
-        fx.send(m.host(), message);
+      if (!m.host().equals(commands.self())) {
+        commands.send(m.host(), message);
       }
     }
   }
 
   /** Tells a node that joined about the crashes that it missed. */
-  void introduce(HostId host) {
-    recent.forEach(r -> fx.send(host, r.report()));
+  void sendRecentReports(HostId host) {
+    recentReports.forEach(r -> commands.send(host, r.report()));
   }
 
-  private void record(CrashReport report) {
-    long now = fx.now();
-    if (recent.stream().anyMatch(r -> r.report().crashId().equals(report.crashId()))) {
+  private void recordReport(CrashReport report) {
+    long now = commands.now();
+    if (recentReports.stream().anyMatch(r -> r.report().crashId().equals(report.crashId()))) {
       return;
     }
     String crashId = report.crashId();
-    for (Recent r : recent) {
+    for (RecentReport r : recentReports) {
       boolean sameEngine = r.report().upstream().equals(report.upstream());
-      if (sameEngine && now - r.atNanos() < SAME_CRASH_NANOS && !sameReporter(r, report)) {
+      if (sameEngine
+          && now - r.receivedNanos() < DUPLICATE_REPORT_NANOS
+          && !isSameReporter(r, report)) {
         crashId = r.report().crashId();
       }
     }
-    if (recent.size() == MAX_RECENT) {
-      recent.removeFirst();
+    if (recentReports.size() == MAX_RECENT_REPORTS) {
+      recentReports.removeFirst();
     }
-    recent.addLast(new Recent(report, now));
+    recentReports.addLast(new RecentReport(report, now));
     evidence.crashed(crashId, report.running(), now);
-    report.running().forEach(runs::ended);
+    report.running().forEach(suspectRuns::ended);
   }
 
-  private static boolean sameReporter(Recent known, CrashReport report) {
+  private static boolean isSameReporter(RecentReport known, CrashReport report) {
     return reporter(known.report().crashId()).equals(reporter(report.crashId()));
   }
 
--- a/core/src/main/java/org/mustardlatch/core/routing/Crossing.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Crossing.java
@@ -34,7 +34,7 @@
       return null;
     }
     double bytes = q.request.promptBytes() + (double) ANSWER_BYTES_PER_TOKEN * q.remainingTokens();
-    double cost = bytes * settings.tuning().crossingCost();
+    double cost = bytes * settings.policyParameters().crossRegionCostFactor();
     if (!budget.take(cost, fx.now())) {
       fx.explain(q.request.id(), "cross_region_budget", "no budget for " + bytes + " bytes");
       return null;
--- a/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
@@ -6,12 +6,12 @@
   private static final double NEWEST_WEIGHT = 0.4;
 
   private double perSecond = -1;
-  private int inWindow;
+  private int departuresInWindow;
   private long windowStartNanos = Long.MIN_VALUE;
 
-  void departed(long now) {
-    roll(now);
-    inWindow++;
+  void recordDeparture(long now) {
+    advanceWindow(now);
+    departuresInWindow++;
   }
 
   /**
@@ -20,21 +20,21 @@
    * @param initial the answer before a whole window was observed
    */
   double perSecond(long now, double initial) {
-    roll(now);
+    advanceWindow(now);
     return perSecond < 0 ? initial : Math.max(perSecond, initial * 0.1);
   }
 
-  private void roll(long now) {
+  private void advanceWindow(long now) {
     if (windowStartNanos == Long.MIN_VALUE) {
       windowStartNanos = now;
       return;
     }
     long age = now - windowStartNanos;
     if (age >= WINDOW_NANOS) {
-      double rate = inWindow * 1e9 / age;
+      double rate = departuresInWindow * 1e9 / age;
       perSecond = perSecond < 0 ? rate : perSecond + NEWEST_WEIGHT * (rate - perSecond);
       windowStartNanos = now;
-      inWindow = 0;
+      departuresInWindow = 0;
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
@@ -12,68 +12,68 @@
 
   // Start of a process, connection set-up and scheduling make single prefills late by tens of
   // milliseconds. Without the allowance one short prompt made its engine look 20 times too slow.
-  private static final long PREFILL_NOISE_NANOS = 50_000_000;
+  private static final long PREFILL_JITTER_NANOS = 50_000_000;
   // A prefill past its predicted end is expected to take this share of its age on top.
-  private static final double OVERDUE_SHARE = 0.3;
-  private static final long SOON_NANOS = 300_000_000;
+  private static final double OVERDUE_REMAINING_SHARE = 0.3;
+  private static final long SHORT_BLOCK_NANOS = 300_000_000;
 
   private static final int MIN_PREFIX_BLOCKS = 64;
 
   /** The engine as the manifest in force states it. */
   Upstream upstream;
 
-  final Pace prefillPace = new Pace();
-  final Pace transferPace = new Pace();
-  final Pace tokenPace = new Pace();
-  final PrefixIndex prefixes;
-  final ProbeGate probes = new ProbeGate();
+  final SlowdownEstimate prefillSlowdown = new SlowdownEstimate();
+  final SlowdownEstimate transferSlowdown = new SlowdownEstimate();
+  final SlowdownEstimate tokenSlowdown = new SlowdownEstimate();
+  final PrefixIndex prefixIndex;
+  final ProbeLimiter probeLimiter = new ProbeLimiter();
 
   /** Prefills granted and not known to have ended, oldest first. */
-  final ArrayDeque<Reservation> prefilling = new ArrayDeque<>();
+  final ArrayDeque<Reservation> pendingPrefills = new ArrayDeque<>();
 
-  int heldSlots;
-  int heldPieces;
-  int suspects;
+  int reservedSlots;
+  int reservedPieces;
+  int suspectCount;
 
   /** Attempts that the engine holds for nodes that did not tell this one. */
-  int unaccounted;
+  int unreservedAttempts;
 
-  int reportedRunning;
+  int reportedRunningRequests;
 
   /** Decode slots of reservations that this node granted itself. */
-  int grantedSlots;
+  int locallyGrantedDecodeSlots;
 
   /** Time before which no work is sent, after a crash or a refusal. */
   long blockedUntilNanos = Long.MIN_VALUE;
 
   /** Failures since the engine last finished something. */
-  int failures;
+  int consecutiveFailures;
 
-  private long prefillServingSinceNanos;
+  private long headPrefillStartNanos;
 
   EngineState(Upstream upstream, int pieceTokens) {
     this.upstream = upstream;
     // Cached prefixes lie in the KV memory of the engine, so they can't be more than it holds.
     int blocks = upstream.memoryPieces() * pieceTokens / PrefixIndex.BLOCK_TOKENS;
-    this.prefixes = new PrefixIndex(Math.max(MIN_PREFIX_BLOCKS, blocks));
+    this.prefixIndex = new PrefixIndex(Math.max(MIN_PREFIX_BLOCKS, blocks));
   }
 
-  boolean usable(LeavingUpstreams leaving, long now) {
+  boolean isUsable(LeavingUpstreams leaving, long now) {
     return !upstream.leaving() && now >= blockedUntilNanos && !leaving.contains(upstream.id(), now);
   }
 
   /** Returns whether work can be sent now or after a short block, such as after a refusal. */
-  boolean usableSoon(LeavingUpstreams leaving, long now) {
-    return usable(leaving, Math.max(now, Math.min(blockedUntilNanos, now + SOON_NANOS)));
+  boolean isUsableSoon(LeavingUpstreams leaving, long now) {
+    return isUsable(leaving, Math.max(now, Math.min(blockedUntilNanos, now + SHORT_BLOCK_NANOS)));
   }
 
   /** Sends no work for a while. */
-  void block(long now, long durationNanos) {
+  void blockFor(long now, long durationNanos) {
     blockedUntilNanos = Math.max(blockedUntilNanos, now + durationNanos);
   }
 
   int freeSlots() {
-    return Math.max(0, upstream.slots() - heldSlots - unaccounted);
+    return Math.max(0, upstream.slots() - reservedSlots - unreservedAttempts);
   }
 
   /**
@@ -81,46 +81,47 @@
    * of its predecessor: half of those that the engine reports as free.
    */
   int freeSlotsInHandover() {
-    int half = Math.max(0, upstream.slots() - reportedRunning) / 2 - grantedSlots;
+    int half =
+        Math.max(0, upstream.slots() - reportedRunningRequests) / 2 - locallyGrantedDecodeSlots;
     return Math.min(half, freeSlots());
   }
 
   /** Returns how many more requests of {@code pieces} of KV memory it has room for. */
-  int freeFor(int pieces) {
+  int freeCapacityFor(int pieces) {
     int free = freeSlots();
     if (upstream.memoryPieces() == 0) {
       return free;
     }
-    return Math.clamp((upstream.memoryPieces() - heldPieces) / Math.max(1, pieces), 0, free);
+    return Math.clamp((upstream.memoryPieces() - reservedPieces) / Math.max(1, pieces), 0, free);
   }
 
   /**
    * Returns how many requests of {@code pieces} of KV memory it holds when empty. Memory counts as
    * room for one at least: some requests are smaller than the usual one.
    */
-  int capacityFor(int pieces) {
+  int totalCapacityFor(int pieces) {
     int slots = upstream.slots();
     return upstream.memoryPieces() == 0
         ? slots
         : Math.min(slots, Math.max(1, upstream.memoryPieces() / Math.max(1, pieces)));
   }
 
-  boolean hasMemory(int pieces) {
-    return upstream.memoryPieces() == 0 || heldPieces + pieces <= upstream.memoryPieces();
+  boolean hasFreeMemory(int pieces) {
+    return upstream.memoryPieces() == 0 || reservedPieces + pieces <= upstream.memoryPieces();
   }
 
   /** Returns the duration of a prefill at the rate that the manifest states, nanoseconds. */
   long nominalPrefillNanos(int promptTokens, List<Long> prefix) {
     int rate = Math.max(1, upstream.prefillTokensPerSecond());
-    int tokens = promptTokens - prefixes.cachedTokens(prefix, promptTokens);
+    int tokens = promptTokens - prefixIndex.cachedTokens(prefix, promptTokens);
     return PREFILL_OVERHEAD_NANOS + (long) (tokens * 1e9 / rate);
   }
 
   void prefillGranted(Reservation r, long now) {
-    if (prefilling.isEmpty()) {
-      prefillServingSinceNanos = now;
+    if (pendingPrefills.isEmpty()) {
+      headPrefillStartNanos = now;
     }
-    prefilling.add(r);
+    pendingPrefills.add(r);
   }
 
   /**
@@ -128,44 +129,45 @@
    * that was given up after its predicted end.
    */
   void prefillEnded(Reservation r, long now, boolean finished) {
-    boolean first = prefilling.peek() == r;
-    if (prefilling.remove(r) && first) {
-      long age = now - prefillServingSinceNanos;
-      if (finished || age > r.nominalNanos * prefillPace.ratio()) {
-        prefillPace.observe(withoutNoise(age, r.nominalNanos), r.nominalNanos);
+    boolean first = pendingPrefills.peek() == r;
+    if (pendingPrefills.remove(r) && first) {
+      long age = now - headPrefillStartNanos;
+      if (finished || age > r.nominalPrefillNanos * prefillSlowdown.ratio()) {
+        prefillSlowdown.observe(subtractJitter(age, r.nominalPrefillNanos), r.nominalPrefillNanos);
       }
     }
     if (first) {
-      prefillServingSinceNanos = now;
+      headPrefillStartNanos = now;
     }
   }
 
   /** Returns the pace of prefills with the age of the one in progress taken into account. */
-  double prefillRatio(long now) {
-    Reservation first = prefilling.peek();
+  double currentPrefillSlowdown(long now) {
+    Reservation first = pendingPrefills.peek();
     if (first == null) {
-      return prefillPace.ratio();
+      return prefillSlowdown.ratio();
     }
-    long age = withoutNoise(now - prefillServingSinceNanos, first.nominalNanos);
-    return Math.max(prefillPace.ratio(), (double) age / first.nominalNanos);
+    long age = subtractJitter(now - headPrefillStartNanos, first.nominalPrefillNanos);
+    return Math.max(prefillSlowdown.ratio(), (double) age / first.nominalPrefillNanos);
   }
 
   /** Takes up to the usual noise off the part of a duration that exceeds the nominal one. */
-  private static long withoutNoise(long durationNanos, long nominalNanos) {
+  private static long subtractJitter(long durationNanos, long nominalNanos) {
     long excess = durationNanos - nominalNanos;
-    return excess <= 0 ? durationNanos : nominalNanos + Math.max(0, excess - PREFILL_NOISE_NANOS);
+    return excess <= 0 ? durationNanos : nominalNanos + Math.max(0, excess - PREFILL_JITTER_NANOS);
   }
 
   /** Returns the predicted time until the prefills granted so far have ended, nanoseconds. */
-  long backlogNanos(long now) {
+  long prefillBacklogNanos(long now) {
     long sum = 0;
-    double pace = prefillPace.ratio();
+    double pace = prefillSlowdown.ratio();
     boolean first = true;
-    for (Reservation r : prefilling) {
-      double predicted = r.nominalNanos * pace;
+    for (Reservation r : pendingPrefills) {
+      double predicted = r.nominalPrefillNanos * pace;
       if (first) {
-        long age = now - prefillServingSinceNanos;
-        sum += (long) Math.max(predicted - age, age > predicted ? age * OVERDUE_SHARE : 0);
+        long age = now - headPrefillStartNanos;
+        sum +=
+            (long) Math.max(predicted - age, age > predicted ? age * OVERDUE_REMAINING_SHARE : 0);
         first = false;
       } else {
         sum += (long) predicted;
--- a/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
@@ -43,7 +43,7 @@
   private final Effects fx;
   private final NodeSettings settings;
   private final CrashEvidence evidence;
-  private final EvidenceSide evidenceSide;
+  private final CrashEvidenceCoordinator evidenceSide;
   private final LeavingUpstreams leaving;
   private final RegionId region;
   private final RetrySpread spread;
@@ -60,11 +60,11 @@
 
   EntrySide(
       CellAdmission.Environment env,
-      EvidenceSide evidenceSide,
+      CrashEvidenceCoordinator evidenceSide,
       LeavingUpstreams leaving,
       RegionId region,
       Topology topology) {
-    this.fx = env.effects();
+    this.fx = env.commands();
     this.settings = env.settings();
     this.evidence = env.evidence();
     this.evidenceSide = evidenceSide;
@@ -100,7 +100,7 @@
     retries.limit(Math.max(1, FLEET_RETRY_UNITS / Math.max(LEAST_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
-      crossing.configure(manifest.link(), next.membersIn(region));
+      crossing.configure(manifest.link(), next.memberCountIn(region));
     }
     for (EntryRequest q : requests.all()) {
       for (Attempt a : q.live()) {
@@ -343,7 +343,7 @@
         "attempt " + a.id.number() + " on " + a.decode + ", " + q.tokensSent + " tokens";
     fx.explain(q.request.id(), "completed", detail);
     if (q.suspectRun || evidence.standing(q.request.fingerprint(), fx.now()) == Standing.SUSPECT) {
-      evidenceSide.cleared(q.request.fingerprint());
+      evidenceSide.clearSuspect(q.request.fingerprint());
     }
     fx.emit(new RoutingCommand.Complete(q.request.id()));
     close(q, Outcome.FINISHED);
@@ -427,7 +427,7 @@
     q.permitted = false;
     boolean admitterAlive = a.admitter != null && topology.member(a.admitter) != null;
     if (upstream != null && !admitterAlive) {
-      evidenceSide.crashed(upstream, List.of(q.request.fingerprint()));
+      evidenceSide.engineCrashed(upstream, List.of(q.request.fingerprint()));
     }
   }
 
@@ -568,7 +568,7 @@
       driver.renew(q, a, Stage.PREFILL);
       boolean inTime = now + a.predictedNanos() < q.request.firstTokenDeadlineNanos();
       if (a == q.current && q.hedge == null && q.tokensSent == 0 && inTime) {
-        if (settings.tuning().hedges()) {
+        if (settings.policyParameters().hedgingAllowed()) {
           hedge(q, a);
         } else {
           move(q, a);
@@ -607,7 +607,7 @@
   /** Gives up a late prefill for one elsewhere, which wastes less than running it twice. */
   private void replaceLate(EntryRequest q, Attempt granted) {
     Attempt late = q.current;
-    if (granted == q.hedge && late != null && !settings.tuning().hedges()) {
+    if (granted == q.hedge && late != null && !settings.policyParameters().hedgingAllowed()) {
       fx.explain(q.request.id(), "late_prefill_moved", "from " + late.prefill);
       driver.cancel(late, Outcome.CANCELLED, false);
       q.current = granted;
--- a/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
@@ -12,26 +12,27 @@
 
 /** Start-time fair queueing over workspaces by weight; cost is prefill work. */
 final class FairQueue {
-  private static final Comparator<Waiting> BY_START =
-      Comparator.<Waiting>comparingDouble(w -> w.start).thenComparingLong(w -> w.order);
+  private static final Comparator<QueuedRequest> BY_START_TAG =
+      Comparator.<QueuedRequest>comparingDouble(w -> w.startTag)
+          .thenComparingLong(w -> w.arrivalOrder);
 
-  private final Map<AttemptId, Waiting> byAttempt = new HashMap<>();
-  private final TreeSet<Waiting> byStart = new TreeSet<>(BY_START);
-  private final Map<WorkspaceId, Double> lastFinish = new HashMap<>();
+  private final Map<AttemptId, QueuedRequest> byAttempt = new HashMap<>();
+  private final TreeSet<QueuedRequest> byStartTag = new TreeSet<>(BY_START_TAG);
+  private final Map<WorkspaceId, Double> lastFinishTag = new HashMap<>();
   private double virtualTime;
-  private long arrivals;
-  private long tokens;
+  private long arrivalCount;
+  private long totalPromptTokens;
 
   /** A request in the queue. */
-  static final class Waiting {
-    final Ask ask;
-    private final double start;
-    private final long order;
+  static final class QueuedRequest {
+    final ReservationRequest request;
+    private final double startTag;
+    private final long arrivalOrder;
 
-    private Waiting(Ask ask, double start, long order) {
-      this.ask = ask;
-      this.start = start;
-      this.order = order;
+    private QueuedRequest(ReservationRequest request, double start, long order) {
+      this.request = request;
+      this.startTag = start;
+      this.arrivalOrder = order;
     }
   }
 
@@ -40,47 +41,47 @@
    *
    * @param weight share of its workspace, greater than 0
    */
-  void add(Ask ask, double weight) {
-    WorkspaceId workspace = ask.workspace();
-    double start = Math.max(virtualTime, lastFinish.getOrDefault(workspace, 0.0));
-    lastFinish.put(workspace, start + Math.max(1, ask.promptTokens()) / weight);
-    Waiting w = new Waiting(ask, start, arrivals++);
-    byAttempt.put(ask.attempt(), w);
-    byStart.add(w);
-    tokens += ask.promptTokens();
+  void add(ReservationRequest request, double weight) {
+    WorkspaceId workspace = request.workspace();
+    double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
+    lastFinishTag.put(workspace, start + Math.max(1, request.promptTokens()) / weight);
+    QueuedRequest w = new QueuedRequest(request, start, arrivalCount++);
+    byAttempt.put(request.attempt(), w);
+    byStartTag.add(w);
+    totalPromptTokens += request.promptTokens();
   }
 
   /** Returns the requests that would be served next, at most {@code count}. */
-  List<Ask> first(int count) {
-    List<Ask> result = new ArrayList<>(count);
-    for (Waiting w : byStart) {
+  List<ReservationRequest> nextRequests(int count) {
+    List<ReservationRequest> result = new ArrayList<>(count);
+    for (QueuedRequest w : byStartTag) {
       if (result.size() == count) {
         break;
       }
-      result.add(w.ask);
+      result.add(w.request);
     }
     return result;
   }
 
   /** Removes a request that was granted; virtual time moves to its start. */
-  void served(AttemptId attempt) {
-    Waiting w = remove(attempt);
+  void removeServed(AttemptId attempt) {
+    QueuedRequest w = remove(attempt);
     if (w != null) {
-      virtualTime = Math.max(virtualTime, w.start);
+      virtualTime = Math.max(virtualTime, w.startTag);
     }
-    if (byStart.isEmpty()) {
+    if (byStartTag.isEmpty()) {
       // An idle queue owes nothing to anyone, and forgotten workspaces must not stay in the map.
-      lastFinish.clear();
+      lastFinishTag.clear();
       virtualTime = 0;
     }
   }
 
   /** Removes a request; returns null when it is not in the queue. */
-  @Nullable Waiting remove(AttemptId attempt) {
-    Waiting w = byAttempt.remove(attempt);
+  @Nullable QueuedRequest remove(AttemptId attempt) {
+    QueuedRequest w = byAttempt.remove(attempt);
     if (w != null) {
-      byStart.remove(w);
-      tokens -= w.ask.promptTokens();
+      byStartTag.remove(w);
+      totalPromptTokens -= w.request.promptTokens();
     }
     return w;
   }
@@ -90,31 +91,31 @@
   }
 
   int size() {
-    return byStart.size();
+    return byStartTag.size();
   }
 
   /** Returns the prompt tokens that would be served before a new request of a workspace. */
-  long tokensBefore(WorkspaceId workspace) {
-    double start = Math.max(virtualTime, lastFinish.getOrDefault(workspace, 0.0));
+  long promptTokensAhead(WorkspaceId workspace) {
+    double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
     long sum = 0;
-    for (Waiting w : byStart) {
-      if (w.start > start) {
+    for (QueuedRequest w : byStartTag) {
+      if (w.startTag > start) {
         break;
       }
-      sum += w.ask.promptTokens();
+      sum += w.request.promptTokens();
     }
     return sum;
   }
 
   /** Returns the prompt tokens of all requests in the queue. */
-  long tokensWaiting() {
-    return tokens;
+  long queuedPromptTokens() {
+    return totalPromptTokens;
   }
 
   /** Returns the requests in the order in which they would be served. */
-  List<Ask> all() {
-    List<Ask> result = new ArrayList<>(byStart.size());
-    byStart.forEach(w -> result.add(w.ask));
+  List<ReservationRequest> allRequests() {
+    List<ReservationRequest> result = new ArrayList<>(byStartTag.size());
+    byStartTag.forEach(w -> result.add(w.request));
     return result;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -33,12 +33,12 @@
   private final Effects fx;
   private final NodeSettings settings = new NodeSettings();
   private final CrashEvidence evidence = new CrashEvidence();
-  private final PauseGuard pauses = new PauseGuard();
+  private final PauseDetector pauses = new PauseDetector();
   private final LeavingUpstreams leaving = new LeavingUpstreams();
-  private final EvidenceSide evidenceSide;
-  private final AdmittingSide admitting;
+  private final CrashEvidenceCoordinator evidenceSide;
+  private final AdmissionController admitting;
   private final EntrySide entry;
-  private final HeldSweep sweep;
+  private final OrphanedAttemptSweeper sweep;
   private Topology topology = new Topology(null, List.of());
   private List<Member> members = List.of();
   private long incarnation;
@@ -59,10 +59,10 @@
     this.incarnation = incarnation;
     this.fx = new Effects(self);
     var environment = new CellAdmission.Environment(fx, random, evidence, settings);
-    this.evidenceSide = new EvidenceSide(fx, evidence, topology, incarnation);
-    this.admitting = new AdmittingSide(environment, evidenceSide, leaving, topology);
+    this.evidenceSide = new CrashEvidenceCoordinator(fx, evidence, topology, incarnation);
+    this.admitting = new AdmissionController(environment, evidenceSide, leaving, topology);
     this.entry = new EntrySide(environment, evidenceSide, leaving, region, topology);
-    this.sweep = new HeldSweep(fx, topology);
+    this.sweep = new OrphanedAttemptSweeper(fx, topology);
   }
 
   /**
@@ -96,7 +96,7 @@
       ticking = true;
       fx.timer(TICK, fx.self().value(), nowNanos + TICK_NANOS);
     }
-    switch (pauses.since(nowNanos)) {
+    switch (pauses.recordEvent(nowNanos)) {
       case RUNNING -> {}
       case SHORT_PAUSE -> entry.askAfresh();
       case LONG_PAUSE -> fence();
@@ -125,8 +125,8 @@
       case RoutingEvent.DecodeFailed e -> entry.decodeFailed(e.attempt(), e.failure());
       case RoutingEvent.LoadReported e -> loadReported(e);
       case RoutingEvent.HeldAttemptsListed e -> {
-        admitting.heldListed(e.upstream(), e.attempts());
-        sweep.sweep(e.upstream(), e.attempts(), entry, incarnation);
+        admitting.attemptsListed(e.upstream(), e.attempts());
+        sweep.cancelOrphans(e.upstream(), e.attempts(), entry, incarnation);
       }
       case RoutingEvent.PeerReceived e -> received(e.from(), e.message());
       case RoutingEvent.ManifestApplied e -> {
@@ -148,7 +148,7 @@
       case AdmissionMessage.CellSummary m -> entry.summary(m);
       case AdmissionMessage m -> admitting.handle(from, m);
       case RunPermission m -> entry.permission(m);
-      case LeavingNotice m -> leaving.heard(m.upstream(), fx.now());
+      case LeavingNotice m -> leaving.recordRemoteSignal(m.upstream(), fx.now());
       case EvidenceMessage m -> evidenceSide.handle(from, m);
       default -> {
         // Other messages belong to other parts of the node.
@@ -164,12 +164,12 @@
   }
 
   private void upstreamLeaving(UpstreamId upstream) {
-    leaving.seen(upstream, fx.now());
+    leaving.recordLocalSignal(upstream, fx.now());
     spreadLeaving();
   }
 
   private void spreadLeaving() {
-    for (UpstreamId u : leaving.dueNotices(fx.now())) {
+    for (UpstreamId u : leaving.takeDueNotices(fx.now())) {
       evidenceSide.broadcast(new LeavingNotice(u));
     }
   }
@@ -185,15 +185,15 @@
     topologyChanged();
     for (Member m : next) {
       if (before.member(m.host()) == null && introduces(m)) {
-        leaving.all(fx.now()).forEach(u -> fx.send(m.host(), new LeavingNotice(u)));
-        evidenceSide.introduce(m.host());
+        leaving.listActive(fx.now()).forEach(u -> fx.send(m.host(), new LeavingNotice(u)));
+        evidenceSide.sendRecentReports(m.host());
       }
     }
   }
 
   /** Returns whether this node is one of the few that tell a joining node what it missed. */
   private boolean introduces(Member joining) {
-    List<HostId> order = topology.ownersOf(joining.host().value());
+    List<HostId> order = topology.rankedOwners(joining.host().value());
     return !joining.host().equals(fx.self())
         && order.subList(0, Math.min(INTRODUCERS + 1, order.size())).contains(fx.self());
   }
@@ -218,7 +218,7 @@
   private void tick() {
     fx.timer(TICK, fx.self().value(), fx.now() + TICK_NANOS);
     spreadLeaving();
-    leaving.expire(topology, fx.now());
+    leaving.removeExpired(topology, fx.now());
     admitting.tickAll();
     evidenceSide.tick();
     sweep.tick();
@@ -228,7 +228,7 @@
     incarnation++;
     fx.emit(
         new RoutingCommand.SetTimer(new TimerKey(TICK, fx.self().value()), fx.now() + TICK_NANOS));
-    admitting.forgetAll();
+    admitting.dropAllReservations();
     entry.fence();
     evidenceSide.topologyChanged(topology, incarnation);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeSettings.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeSettings.java
@@ -11,28 +11,28 @@
 
 /** The parts of the manifest in force that decisions look up by key; changes with the manifest. */
 final class NodeSettings {
-  private Tuning tuning = Tuning.of(Objective.WASTE_AVERSE);
+  private PolicyParameters policyParameters = PolicyParameters.of(Objective.WASTE_AVERSE);
   private Limits limits = new Limits(0.1, 0.02);
-  private Map<WorkspaceId, Double> weights = Map.of();
+  private Map<WorkspaceId, Double> workspaceWeights = Map.of();
   private @Nullable Manifest manifest;
 
   void apply(Manifest next) {
     manifest = next;
-    tuning = Tuning.of(next.objective());
+    policyParameters = PolicyParameters.of(next.objective());
     limits = next.limits();
     Map<WorkspaceId, Double> w = new HashMap<>();
     for (Workspace workspace : next.workspaces()) {
       w.put(workspace.id(), workspace.weight());
     }
-    weights = Map.copyOf(w);
+    workspaceWeights = Map.copyOf(w);
   }
 
   @Nullable Manifest manifest() {
     return manifest;
   }
 
-  Tuning tuning() {
-    return tuning;
+  PolicyParameters policyParameters() {
+    return policyParameters;
   }
 
   Limits limits() {
@@ -40,7 +40,7 @@
   }
 
   /** Returns the share of a workspace in fair queueing; 1 for one that the manifest omits. */
-  double weight(WorkspaceId workspace) {
-    return weights.getOrDefault(workspace, 1.0);
+  double workspaceWeight(WorkspaceId workspace) {
+    return workspaceWeights.getOrDefault(workspace, 1.0);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/PauseGuard.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PauseDetector.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.routing;
 
 /** Finds out that this node was paused, from the time between the events that it handles. */
-final class PauseGuard {
+final class PauseDetector {
   /** What happened since the event before. */
-  enum Finding {
+  enum PauseState {
     /** The node ran. */
     RUNNING,
     /** Messages that wait to be handled are old, but the node still counts as alive. */
@@ -14,21 +14,21 @@
 
   // The node's own timer fires every 100 ms. Grants older than this may name upstreams that have
   // become unusable, which news behind them in the input tells.
-  private static final long SHORT_NANOS = 2_000_000_000;
+  private static final long SHORT_PAUSE_NANOS = 2_000_000_000;
 
   // Membership declares a node dead 8 s after its last sign of life at the earliest (3 s of missed
   // heartbeats, 5 s to refute). The guard acts before that.
-  private static final long LONG_NANOS = 6_000_000_000L;
+  private static final long LONG_PAUSE_NANOS = 6_000_000_000L;
 
-  private long lastNanos = Long.MIN_VALUE;
+  private long lastEventNanos = Long.MIN_VALUE;
 
   /** Returns what happened since the last call. */
-  Finding since(long now) {
-    long gap = lastNanos == Long.MIN_VALUE ? 0 : now - lastNanos;
-    lastNanos = now;
-    if (gap >= LONG_NANOS) {
-      return Finding.LONG_PAUSE;
+  PauseState recordEvent(long now) {
+    long gap = lastEventNanos == Long.MIN_VALUE ? 0 : now - lastEventNanos;
+    lastEventNanos = now;
+    if (gap >= LONG_PAUSE_NANOS) {
+      return PauseState.LONG_PAUSE;
     }
-    return gap >= SHORT_NANOS ? Finding.SHORT_PAUSE : Finding.RUNNING;
+    return gap >= SHORT_PAUSE_NANOS ? PauseState.SHORT_PAUSE : PauseState.RUNNING;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/Placer.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Placer.java
@@ -12,75 +12,75 @@
   // The next prefill is sent to an engine this long before the current one ends, which covers the
   // way of the news and of the grant. More would bind requests to an engine that may slow down.
   static final long LOOKAHEAD_NANOS = 30_000_000;
-  private static final double STRAGGLER_RATIO = 3;
-  private static final double SLOW_RATIO = 1.5;
+  private static final double SLOW_ENGINE_RATIO = 3;
+  private static final double MAX_NORMAL_RATIO = 1.5;
   private static final double PROBE_BUDGET_SHARE = 0.2;
   // Links between availability zones carry a KV cache at about half the rate of those within one.
-  private static final long CROSS_ZONE_NANOS = 10_000_000;
+  private static final long CROSS_ZONE_PENALTY_NANOS = 10_000_000;
   // A single slow transfer must not make an engine look useless for all requests.
-  private static final double MAX_TRANSFER_RATIO = 3;
+  private static final double MAX_TRANSFER_SLOWDOWN = 3;
   // Share of the time left that the first token may take on an engine that looks slow; the rest is
   // for an estimate that is too low.
-  private static final double STRAGGLER_BUDGET_SHARE = 0.6;
-  private static final long MEDIAN_AGE_NANOS = 50_000_000;
+  private static final double SLOW_ENGINE_BUDGET_SHARE = 0.6;
+  private static final long MAX_MEDIAN_AGE_NANOS = 50_000_000;
 
   private final Cell cell;
   private final int pieceTokens;
-  private final LeavingUpstreams leaving;
-  private final List<EngineState> prefills = new ArrayList<>();
-  private final List<EngineState> decodes = new ArrayList<>();
-  private double medianPrefill = 1;
-  private double medianToken = 1;
-  private double medianTransfer = 1;
-  private long mediansAtNanos = Long.MIN_VALUE;
+  private final LeavingUpstreams leavingUpstreams;
+  private final List<EngineState> prefillEngines = new ArrayList<>();
+  private final List<EngineState> decodeEngines = new ArrayList<>();
+  private double medianPrefillSlowdown = 1;
+  private double medianTokenSlowdown = 1;
+  private double medianTransferSlowdown = 1;
+  private long mediansComputedNanos = Long.MIN_VALUE;
 
   /**
    * A choice of engines.
    *
-   * @param prefill null when the KV cache exists already
-   * @param nominalNanos duration of the prefill at the rate of the manifest
+   * @param prefillEngine null when the KV cache exists already
+   * @param nominalPrefillNanos duration of the prefill at the rate of the manifest
    * @param firstTokenNanos predicted time from now to the first token
    */
   record Placement(
-      @Nullable EngineState prefill,
-      EngineState decode,
-      long nominalNanos,
-      long prefillNanos,
+      @Nullable EngineState prefillEngine,
+      EngineState decodeEngine,
+      long nominalPrefillNanos,
+      long prefillEndNanos,
       long firstTokenNanos) {}
 
   Placer(Cell cell, Iterable<EngineState> engines, LeavingUpstreams leaving) {
     this.cell = cell;
     this.pieceTokens = cell.model().memoryPieceTokens();
-    this.leaving = leaving;
+    this.leavingUpstreams = leaving;
     for (EngineState e : engines) {
       if (e.upstream.role().prefills()) {
-        prefills.add(e);
+        prefillEngines.add(e);
       }
       if (e.upstream.role().decodes()) {
-        decodes.add(e);
+        decodeEngines.add(e);
       }
     }
   }
 
-  List<EngineState> prefills() {
-    return prefills;
+  List<EngineState> prefillEngines() {
+    return prefillEngines;
   }
 
-  List<EngineState> decodes() {
-    return decodes;
+  List<EngineState> decodeEngines() {
+    return decodeEngines;
   }
 
   /** Returns whether some prefill engine and some decode engine have room, cheaply. */
-  boolean mayHaveRoom(long now) {
-    for (EngineState d : decodes) {
-      if (d.freeSlots() > 0 && d.usable(leaving, now)) {
+  boolean mayHaveCapacity(long now) {
+    for (EngineState d : decodeEngines) {
+      if (d.freeSlots() > 0 && d.isUsable(leavingUpstreams, now)) {
         if (d.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT) {
           return true;
         }
-        for (EngineState p : prefills) {
+        for (EngineState p : prefillEngines) {
           if (p.freeSlots() > 0
-              && p.backlogNanos(now) <= LOOKAHEAD_NANOS
-              && p.usable(leaving, now)) {
+              && p.prefillBacklogNanos(now) <= LOOKAHEAD_NANOS
+              && p.isUsable(leavingUpstreams, now)) {
             return true;
           }
         }
@@ -92,50 +92,62 @@
 
   /** Returns the best choice that has room now, or null. */
   @Nullable Placement place(
-      Ask ask, boolean suspect, LinkEstimate link, boolean handover, long now) {
+      ReservationRequest request,
+      boolean suspect,
+      KvTransferLimiter link,
+      boolean handover,
+      long now) {
     refreshMedians(now);
-    if (ask.source() != null) {
-      EngineState d = decode(ask, null, 0, suspect, link, handover, now);
-      return d == null ? null : new Placement(null, d, 0, 0, afterPrefill(ask, d, link));
+    if (request.kvSource() != null) {
+      EngineState d = selectDecodeEngine(request, null, 0, suspect, link, handover, now);
+      return d == null ? null : new Placement(null, d, 0, 0, transferNanosTo(request, d, link));
     }
-    Placement split = placeSplit(ask, suspect, link, handover, now);
-    return split != null ? split : placeWhole(ask, suspect, link, handover, now);
+    Placement split = placeSplit(request, suspect, link, handover, now);
+    return split != null ? split : placeOnDecodeEngine(request, suspect, link, handover, now);
   }
 
   /**
    * Returns a decode engine that processes the prompt itself, or null. Every other stream of that
    * engine pauses meanwhile, so it is chosen only where no prefill engine can be used.
    */
-  private @Nullable Placement placeWhole(
-      Ask ask, boolean suspect, LinkEstimate link, boolean handover, long now) {
-    EngineState d = decode(ask, null, 0, suspect, link, handover, now);
+  private @Nullable Placement placeOnDecodeEngine(
+      ReservationRequest request,
+      boolean suspect,
+      KvTransferLimiter link,
+      boolean handover,
+      long now) {
+    EngineState d = selectDecodeEngine(request, null, 0, suspect, link, handover, now);
     if (d == null
         || d.upstream.role() != UpstreamRole.DECODE_WITH_PROMPT
-        || prefills.stream().anyMatch(e -> e.usableSoon(leaving, now))) {
+        || prefillEngines.stream().anyMatch(e -> e.isUsableSoon(leavingUpstreams, now))) {
       return null;
     }
-    long nominal = d.nominalPrefillNanos(ask.promptTokens(), ask.prefixBlocks());
-    long finish = d.backlogNanos(now) + nominal;
+    long nominal = d.nominalPrefillNanos(request.promptTokens(), request.prefixBlocks());
+    long finish = d.prefillBacklogNanos(now) + nominal;
     return new Placement(d, d, nominal, finish, finish);
   }
 
   private @Nullable Placement placeSplit(
-      Ask ask, boolean suspect, LinkEstimate link, boolean handover, long now) {
+      ReservationRequest request,
+      boolean suspect,
+      KvTransferLimiter link,
+      boolean handover,
+      long now) {
     EngineState best = null;
     double bestFinish = Double.MAX_VALUE;
     long bestNominal = 0;
     double waiting = -1;
-    for (EngineState e : prefills) {
-      if (!prefillRoom(e, ask, suspect, now)) {
+    for (EngineState e : prefillEngines) {
+      if (!canTakePrefill(e, request, suspect, now)) {
         continue;
       }
-      long nominal = e.nominalPrefillNanos(ask.promptTokens(), ask.prefixBlocks());
-      double ratio = e.prefillRatio(now);
-      double finish = e.backlogNanos(now) + nominal * ratio;
-      if (isStraggler(ratio, medianPrefill) && isProbe(e, ask, ratio, nominal, now)) {
+      long nominal = e.nominalPrefillNanos(request.promptTokens(), request.prefixBlocks());
+      double ratio = e.currentPrefillSlowdown(now);
+      double finish = e.prefillBacklogNanos(now) + nominal * ratio;
+      if (isSlow(ratio, medianPrefillSlowdown) && isProbe(e, request, ratio, nominal, now)) {
         finish = 0;
-      } else if (ratio > SLOW_RATIO * medianPrefill) {
-        waiting = waiting < 0 ? finishAfterWaiting(ask, now) : waiting;
+      } else if (ratio > MAX_NORMAL_RATIO * medianPrefillSlowdown) {
+        waiting = waiting < 0 ? prefillEndAfterWaiting(request, now) : waiting;
         if (finish > waiting) {
           continue;
         }
@@ -149,48 +161,52 @@
     if (best == null) {
       return null;
     }
-    long finish = best.backlogNanos(now) + (long) (bestNominal * best.prefillRatio(now));
-    EngineState d = decode(ask, best, finish, suspect, link, handover, now);
+    long finish =
+        best.prefillBacklogNanos(now) + (long) (bestNominal * best.currentPrefillSlowdown(now));
+    EngineState d = selectDecodeEngine(request, best, finish, suspect, link, handover, now);
     if (d == null) {
       return null;
     }
-    long first = finish + (d == best ? 0 : afterPrefill(ask, d, link));
+    long first = finish + (d == best ? 0 : transferNanosTo(request, d, link));
     return new Placement(best, d, bestNominal, finish, first);
   }
 
   /** Returns whether an engine failed this request, unless every usable one of its pool did. */
-  private boolean excluded(EngineState e, Ask ask, List<EngineState> pool, long now) {
-    if (!ask.excluded().contains(e.upstream.id())) {
+  private boolean isExcluded(
+      EngineState e, ReservationRequest request, List<EngineState> pool, long now) {
+    if (!request.excludedUpstreams().contains(e.upstream.id())) {
       return false;
     }
     for (EngineState other : pool) {
-      if (other.usable(leaving, now) && !ask.excluded().contains(other.upstream.id())) {
+      if (other.isUsable(leavingUpstreams, now)
+          && !request.excludedUpstreams().contains(other.upstream.id())) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean prefillRoom(EngineState e, Ask ask, boolean suspect, long now) {
-    if (!e.usable(leaving, now) || excluded(e, ask, prefills, now)) {
+  private boolean canTakePrefill(
+      EngineState e, ReservationRequest request, boolean suspect, long now) {
+    if (!e.isUsable(leavingUpstreams, now) || isExcluded(e, request, prefillEngines, now)) {
       return false;
     }
     if (e.freeSlots() == 0
-        || !e.hasMemory(ask.prefillPieces(pieceTokens))
-        || (suspect && e.suspects > 0)) {
+        || !e.hasFreeMemory(request.prefillMemoryPieces(pieceTokens))
+        || (suspect && e.suspectCount > 0)) {
       return false;
     }
-    return e.backlogNanos(now) <= LOOKAHEAD_NANOS;
+    return e.prefillBacklogNanos(now) <= LOOKAHEAD_NANOS;
   }
 
   /** Returns the predicted end of the prefill if it waits for an engine of normal speed. */
-  private double finishAfterWaiting(Ask ask, long now) {
+  private double prefillEndAfterWaiting(ReservationRequest request, long now) {
     double best = Double.MAX_VALUE;
-    for (EngineState e : prefills) {
-      double ratio = e.prefillRatio(now);
-      if (e.usable(leaving, now) && ratio <= SLOW_RATIO * medianPrefill) {
-        long nominal = e.nominalPrefillNanos(ask.promptTokens(), ask.prefixBlocks());
-        best = Math.min(best, e.backlogNanos(now) + nominal * ratio);
+    for (EngineState e : prefillEngines) {
+      double ratio = e.currentPrefillSlowdown(now);
+      if (e.isUsable(leavingUpstreams, now) && ratio <= MAX_NORMAL_RATIO * medianPrefillSlowdown) {
+        long nominal = e.nominalPrefillNanos(request.promptTokens(), request.prefixBlocks());
+        best = Math.min(best, e.prefillBacklogNanos(now) + nominal * ratio);
       }
     }
     return best;
@@ -199,10 +215,11 @@
   /**
    * Returns whether a request is to probe this straggler and meets its deadline there with ease.
    */
-  private static boolean isProbe(EngineState e, Ask ask, double ratio, long nominal, long now) {
-    return e.prefilling.isEmpty()
-        && nominal * ratio <= PROBE_BUDGET_SHARE * ask.budgetNanos()
-        && e.probes.due(now);
+  private static boolean isProbe(
+      EngineState e, ReservationRequest request, double ratio, long nominal, long now) {
+    return e.pendingPrefills.isEmpty()
+        && nominal * ratio <= PROBE_BUDGET_SHARE * request.budgetNanos()
+        && e.probeLimiter.mayProbe(now);
   }
 
   /**
@@ -212,37 +229,39 @@
    *
    * @param readyNanos predicted time from now until the KV cache exists
    */
-  private @Nullable EngineState decode(
-      Ask ask,
+  private @Nullable EngineState selectDecodeEngine(
+      ReservationRequest request,
       @Nullable EngineState prefill,
       long readyNanos,
       boolean suspect,
-      LinkEstimate link,
+      KvTransferLimiter link,
       boolean handover,
       long now) {
     EngineState best = null;
     double bestScore = Double.MAX_VALUE;
     EngineState bestStraggler = null;
     double bestStragglerScore = Double.MAX_VALUE;
-    for (EngineState e : decodes) {
-      if (!e.usable(leaving, now) || excluded(e, ask, decodes, now)) {
+    for (EngineState e : decodeEngines) {
+      if (!e.isUsable(leavingUpstreams, now) || isExcluded(e, request, decodeEngines, now)) {
         continue;
       }
       int free = handover ? e.freeSlotsInHandover() : e.freeSlots();
-      if (free <= 0 || !e.hasMemory(ask.decodePieces(pieceTokens)) || (suspect && e.suspects > 0)) {
+      if (free <= 0
+          || !e.hasFreeMemory(request.decodeMemoryPieces(pieceTokens))
+          || (suspect && e.suspectCount > 0)) {
         continue;
       }
-      double slowness = slowness(e);
-      boolean straggler = slowness > STRAGGLER_RATIO;
-      if (straggler && (e.heldSlots > 0 || !e.probes.due(now))) {
-        double score = score(e, ask, prefill, link, slowness);
-        if (score < bestStragglerScore && inTime(e, ask, readyNanos, link, now)) {
+      double slowness = relativeDecodeSlowdown(e);
+      boolean straggler = slowness > SLOW_ENGINE_RATIO;
+      if (straggler && (e.reservedSlots > 0 || !e.probeLimiter.mayProbe(now))) {
+        double score = score(e, request, prefill, link, slowness);
+        if (score < bestStragglerScore && meetsTargets(e, request, readyNanos, link, now)) {
           bestStraggler = e;
           bestStragglerScore = score;
         }
         continue;
       }
-      double score = straggler ? 0 : score(e, ask, prefill, link, slowness);
+      double score = straggler ? 0 : score(e, request, prefill, link, slowness);
       if (score < bestScore) {
         best = e;
         bestScore = score;
@@ -252,63 +271,79 @@
   }
 
   /** Returns whether a decode engine, as slow as it was seen to be, meets the targets. */
-  private boolean inTime(EngineState e, Ask ask, long readyNanos, LinkEstimate link, long now) {
-    long bytes = cell.model().kvBytesPerToken() * ask.promptTokens();
-    double first = readyNanos + link.transferNanos(bytes) * e.transferPace.ratio();
-    long left = ask.firstTokenDeadlineNanos() - now;
-    return e.tokenPace.ratio() <= 1 && first <= STRAGGLER_BUDGET_SHARE * left;
+  private boolean meetsTargets(
+      EngineState e,
+      ReservationRequest request,
+      long readyNanos,
+      KvTransferLimiter link,
+      long now) {
+    long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
+    double first = readyNanos + link.predictedTransferNanos(bytes) * e.transferSlowdown.ratio();
+    long left = request.firstTokenDeadlineNanos() - now;
+    return e.tokenSlowdown.ratio() <= 1 && first <= SLOW_ENGINE_BUDGET_SHARE * left;
   }
 
   private double score(
-      EngineState e, Ask ask, @Nullable EngineState prefill, LinkEstimate link, double slowness) {
-    double occupancy = (e.heldSlots + e.unaccounted + 1.0) / Math.max(1, e.upstream.slots());
-    double share = slowness > SLOW_RATIO ? slowness : 1;
-    double transfer = e == prefill ? 0 : afterPrefill(ask, e, link) + distance(prefill, e);
+      EngineState e,
+      ReservationRequest request,
+      @Nullable EngineState prefill,
+      KvTransferLimiter link,
+      double slowness) {
+    double occupancy =
+        (e.reservedSlots + e.unreservedAttempts + 1.0) / Math.max(1, e.upstream.slots());
+    double share = slowness > MAX_NORMAL_RATIO ? slowness : 1;
+    double transfer =
+        e == prefill ? 0 : transferNanosTo(request, e, link) + crossZonePenaltyNanos(prefill, e);
     return transfer + occupancy * share * cell.model().tokenGapTarget().toNanos();
   }
 
-  private static long distance(@Nullable EngineState prefill, EngineState decode) {
+  private static long crossZonePenaltyNanos(@Nullable EngineState prefill, EngineState decode) {
     boolean sameZone = prefill == null || prefill.upstream.zone().equals(decode.upstream.zone());
-    return sameZone ? 0 : CROSS_ZONE_NANOS;
+    return sameZone ? 0 : CROSS_ZONE_PENALTY_NANOS;
   }
 
   /** Returns how slow a decode engine is against the median of its pool, by its worse half. */
-  private double slowness(EngineState e) {
+  private double relativeDecodeSlowdown(EngineState e) {
     return Math.max(
-        e.tokenPace.ratio() / medianToken, Math.min(4, e.transferPace.ratio() / medianTransfer));
+        e.tokenSlowdown.ratio() / medianTokenSlowdown,
+        Math.min(4, e.transferSlowdown.ratio() / medianTransferSlowdown));
   }
 
-  private long afterPrefill(Ask ask, EngineState decode, LinkEstimate link) {
-    long bytes = cell.model().kvBytesPerToken() * ask.promptTokens();
+  private long transferNanosTo(
+      ReservationRequest request, EngineState decode, KvTransferLimiter link) {
+    long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
     return (long)
-        (link.transferNanos(bytes)
-            * Math.clamp(decode.transferPace.ratio(), 1, MAX_TRANSFER_RATIO));
+        (link.predictedTransferNanos(bytes)
+            * Math.clamp(decode.transferSlowdown.ratio(), 1, MAX_TRANSFER_SLOWDOWN));
   }
 
-  private static boolean isStraggler(double ratio, double median) {
-    return ratio > STRAGGLER_RATIO * median;
+  private static boolean isSlow(double ratio, double median) {
+    return ratio > SLOW_ENGINE_RATIO * median;
   }
 
   /** Returns whether work on this engine is a probe of a straggler. */
   boolean isProbe(EngineState e, long now) {
-    return isStraggler(e.prefillRatio(now), medianPrefill) || slowness(e) > STRAGGLER_RATIO;
+    return isSlow(e.currentPrefillSlowdown(now), medianPrefillSlowdown)
+        || relativeDecodeSlowdown(e) > SLOW_ENGINE_RATIO;
   }
 
   private void refreshMedians(long now) {
-    if (mediansAtNanos != Long.MIN_VALUE && now - mediansAtNanos < MEDIAN_AGE_NANOS) {
+    if (mediansComputedNanos != Long.MIN_VALUE
+        && now - mediansComputedNanos < MAX_MEDIAN_AGE_NANOS) {
       return;
     }
-    mediansAtNanos = now;
-    medianPrefill = median(prefills, e -> e.prefillPace.ratio());
-    medianToken = median(decodes, e -> e.tokenPace.ratio());
-    medianTransfer = median(decodes, e -> e.transferPace.ratio());
-    prefills.forEach(e -> release(e, e.prefillPace.ratio() / medianPrefill));
-    decodes.forEach(e -> release(e, slowness(e)));
+    mediansComputedNanos = now;
+    medianPrefillSlowdown = median(prefillEngines, e -> e.prefillSlowdown.ratio());
+    medianTokenSlowdown = median(decodeEngines, e -> e.tokenSlowdown.ratio());
+    medianTransferSlowdown = median(decodeEngines, e -> e.transferSlowdown.ratio());
+    prefillEngines.forEach(
+        e -> resetProbesIfRecovered(e, e.prefillSlowdown.ratio() / medianPrefillSlowdown));
+    decodeEngines.forEach(e -> resetProbesIfRecovered(e, relativeDecodeSlowdown(e)));
   }
 
-  private static void release(EngineState e, double relative) {
-    if (relative <= STRAGGLER_RATIO && e.upstream.role() != UpstreamRole.MIXED) {
-      e.probes.recovered();
+  private static void resetProbesIfRecovered(EngineState e, double relative) {
+    if (relative <= SLOW_ENGINE_RATIO && e.upstream.role() != UpstreamRole.MIXED) {
+      e.probeLimiter.engineRecovered();
     }
   }
 
@@ -325,11 +360,11 @@
   double prefillTokensPerNano(long now) {
     double sum = 0;
     double stragglers = 0;
-    for (EngineState e : prefills) {
-      if (e.usableSoon(leaving, now)) {
-        double ratio = e.prefillRatio(now);
+    for (EngineState e : prefillEngines) {
+      if (e.isUsableSoon(leavingUpstreams, now)) {
+        double ratio = e.currentPrefillSlowdown(now);
         double rate = e.upstream.prefillTokensPerSecond() / 1e9 / ratio;
-        if (isStraggler(ratio, medianPrefill)) {
+        if (isSlow(ratio, medianPrefillSlowdown)) {
           stragglers += rate;
         } else {
           sum += rate;
@@ -337,8 +372,9 @@
       }
     }
     if (sum + stragglers == 0) {
-      for (EngineState e : decodes) {
-        if (e.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT && e.usableSoon(leaving, now)) {
+      for (EngineState e : decodeEngines) {
+        if (e.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT
+            && e.isUsableSoon(leavingUpstreams, now)) {
           sum += e.upstream.prefillTokensPerSecond() / 1e9;
         }
       }
@@ -351,28 +387,30 @@
    * Lets the belief fade that engines without work are slow. Requests that were refused for it
    * could never correct it. Stragglers of a pool are left out: probes tell when they recover.
    */
-  void relaxIdle(long now) {
+  void decayIdleEstimates(long now) {
     refreshMedians(now);
-    for (EngineState e : prefills) {
-      if (e.prefilling.isEmpty() && e.prefillPace.ratio() <= SLOW_RATIO * medianPrefill) {
-        e.prefillPace.relax();
+    for (EngineState e : prefillEngines) {
+      if (e.pendingPrefills.isEmpty()
+          && e.prefillSlowdown.ratio() <= MAX_NORMAL_RATIO * medianPrefillSlowdown) {
+        e.prefillSlowdown.decay();
       }
     }
   }
 
   /** Returns the time until some prefill engine takes another prefill, nanoseconds. */
-  long nextPrefillNanos(long now) {
+  long nanosUntilNextPrefill(long now) {
     long best = Long.MAX_VALUE;
-    for (EngineState e : prefills) {
-      if (e.usableSoon(leaving, now)) {
+    for (EngineState e : prefillEngines) {
+      if (e.isUsableSoon(leavingUpstreams, now)) {
         long blocked = Math.max(now, e.blockedUntilNanos) - now;
-        best = Math.min(best, Math.max(blocked, e.backlogNanos(now) - LOOKAHEAD_NANOS));
+        best = Math.min(best, Math.max(blocked, e.prefillBacklogNanos(now) - LOOKAHEAD_NANOS));
       }
     }
     if (best == Long.MAX_VALUE) {
-      for (EngineState e : decodes) {
-        if (e.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT && e.usableSoon(leaving, now)) {
-          best = Math.min(best, e.backlogNanos(now));
+      for (EngineState e : decodeEngines) {
+        if (e.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT
+            && e.isUsableSoon(leavingUpstreams, now)) {
+          best = Math.min(best, e.prefillBacklogNanos(now));
         }
       }
     }
@@ -380,19 +418,19 @@
   }
 
   /** Returns the requests of {@code pieces} of KV memory that decode engines have room for. */
-  int freeDecodeSlots(int pieces, long now) {
+  int freeDecodeCapacity(int pieces, long now) {
     int sum = 0;
-    for (EngineState e : decodes) {
-      sum += e.usableSoon(leaving, now) ? e.freeFor(pieces) : 0;
+    for (EngineState e : decodeEngines) {
+      sum += e.isUsableSoon(leavingUpstreams, now) ? e.freeCapacityFor(pieces) : 0;
     }
     return sum;
   }
 
   /** Returns the requests of {@code pieces} of KV memory that empty decode engines hold. */
-  int usableDecodeSlots(int pieces, long now) {
+  int totalDecodeCapacity(int pieces, long now) {
     int sum = 0;
-    for (EngineState e : decodes) {
-      sum += e.usableSoon(leaving, now) ? e.capacityFor(pieces) : 0;
+    for (EngineState e : decodeEngines) {
+      sum += e.isUsableSoon(leavingUpstreams, now) ? e.totalCapacityFor(pieces) : 0;
     }
     return sum;
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/ProbeGate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ProbeLimiter.java
@@ -1,31 +1,31 @@
 package org.mustardlatch.core.routing;
 
 /** Spaces the requests that find out whether a straggler has recovered. */
-final class ProbeGate {
+final class ProbeLimiter {
   private static final long FIRST_INTERVAL_NANOS = 2_000_000_000L;
   // Every probe may cost a caller its deadline, so a lasting straggler is probed ever more seldom.
   private static final long MAX_INTERVAL_NANOS = 16_000_000_000L;
 
-  private long nextNanos = Long.MIN_VALUE;
+  private long nextProbeNanos = Long.MIN_VALUE;
   private long intervalNanos = FIRST_INTERVAL_NANOS;
-  private boolean straggling;
+  private boolean engineSlow;
 
   /** Returns whether a probe may be sent; the first time starts the interval. */
-  boolean due(long now) {
-    if (!straggling) {
-      straggling = true;
+  boolean mayProbe(long now) {
+    if (!engineSlow) {
+      engineSlow = true;
       intervalNanos = FIRST_INTERVAL_NANOS;
-      nextNanos = now + intervalNanos;
+      nextProbeNanos = now + intervalNanos;
     }
-    return now >= nextNanos;
+    return now >= nextProbeNanos;
   }
 
-  void sent(long now) {
+  void probeSent(long now) {
     intervalNanos = Math.min(2 * intervalNanos, MAX_INTERVAL_NANOS);
-    nextNanos = now + intervalNanos;
+    nextProbeNanos = now + intervalNanos;
   }
 
-  void recovered() {
-    straggling = false;
+  void engineRecovered() {
+    engineSlow = false;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/Rendezvous.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RendezvousHash.java
@@ -8,10 +8,10 @@
 import java.util.function.Function;
 
 /** Highest-random-weight hashing: all nodes with the same view choose the same name for a key. */
-final class Rendezvous {
+final class RendezvousHash {
   private static final HashFunction HASH = Hashing.murmur3_128();
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /** Returns the weight of a name for a key. */
   static long weight(String key, String name) {
@@ -39,7 +39,7 @@
   }
 
   /** Returns the number in 0 to {@code count - 1} that has the highest weight for the key. */
-  static int choose(String key, int count) {
+  static int chooseIndex(String key, int count) {
     int best = 0;
     long bestWeight = Long.MIN_VALUE;
     for (int i = 0; i < count; i++) {
--- a/core/src/main/java/org/mustardlatch/core/routing/HeldAttempt.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ReportedAttempt.java
@@ -9,4 +9,4 @@
  * @param owner the node that sent it
  * @param incarnation the incarnation of that node
  */
-public record HeldAttempt(String attempt, HostId owner, long incarnation) {}
+public record ReportedAttempt(String attempt, HostId owner, long incarnation) {}
--- a/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
@@ -17,27 +17,27 @@
   final long kvBytes;
 
   /** Predicted duration of the prefill on an engine as fast as the manifest says, nanoseconds. */
-  long nominalNanos;
+  long nominalPrefillNanos;
 
   /** Engine whose prefill place or exported KV cache is held; null once it is free. */
-  @Nullable EngineState prefill;
+  @Nullable EngineState prefillEngine;
 
   /** Engine whose decode slot is held; null for a prefill whose decode part is not known. */
-  @Nullable EngineState decode;
+  @Nullable EngineState decodeEngine;
 
   /** Engine that the KV cache comes from, as granted; null for a reservation taken over. */
-  @Nullable UpstreamId source;
+  @Nullable UpstreamId kvSource;
 
   /** Engine whose crash this attempt was already counted in. */
-  @Nullable EngineState inCrashOf;
+  @Nullable EngineState countedCrashEngine;
 
-  boolean linkHeld;
+  boolean transferReserved;
   boolean suspect;
   Stage stage = Stage.PREFILL;
-  long stageSinceNanos;
+  long stageStartNanos;
   long expiresNanos;
   int tokensSoFar;
-  long tokensAtNanos;
+  long tokensUpdatedNanos;
 
   Reservation(
       AttemptId attempt,
--- a/core/src/main/java/org/mustardlatch/core/routing/Ask.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
@@ -13,27 +13,27 @@
 /**
  * A request for a reservation as the admitting node sees it.
  *
- * @param from the entry node
- * @param source engine that already holds the KV cache; null when a prefill is needed
+ * @param requester the entry node
+ * @param kvSource engine that already holds the KV cache; null when a prefill is needed
  * @param firstTokenDeadlineNanos monotonic time of this node
  * @param maxOutputTokens tokens of the answer to plan memory for
  * @param budgetNanos time from the arrival of the ask to the first-token deadline
  */
-record Ask(
+record ReservationRequest(
     AttemptId attempt,
-    HostId from,
+    HostId requester,
     WorkspaceId workspace,
     int promptTokens,
     int maxOutputTokens,
     List<Long> prefixBlocks,
     Fingerprint fingerprint,
-    @Nullable UpstreamId source,
+    @Nullable UpstreamId kvSource,
     long firstTokenDeadlineNanos,
     long budgetNanos,
-    List<UpstreamId> excluded) {
+    List<UpstreamId> excludedUpstreams) {
 
-  static Ask of(Reserve r, HostId from, long now) {
-    return new Ask(
+  static ReservationRequest of(Reserve r, HostId from, long now) {
+    return new ReservationRequest(
         r.attempt(),
         from,
         r.workspace(),
@@ -47,8 +47,8 @@
         r.excluded());
   }
 
-  static Ask of(ReserveDecode r, HostId from, long now) {
-    return new Ask(
+  static ReservationRequest of(ReserveDecode r, HostId from, long now) {
+    return new ReservationRequest(
         r.attempt(),
         from,
         r.workspace(),
@@ -63,12 +63,12 @@
   }
 
   /** Returns the KV memory that the prompt takes, in pieces of a number of tokens. */
-  int prefillPieces(int pieceTokens) {
+  int prefillMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens, pieceTokens);
   }
 
   /** Returns the KV memory to plan for prompt and answer, in pieces of a number of tokens. */
-  int decodePieces(int pieceTokens) {
+  int decodeMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens + maxOutputTokens, pieceTokens);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
@@ -33,7 +33,7 @@
   record CancelAttempt(AttemptId attempt, UpstreamId upstream) implements RoutingCommand {}
 
   /** Cancel what an engine holds for a node that is gone. */
-  record CancelHeld(HeldAttempt held, UpstreamId upstream) implements RoutingCommand {}
+  record CancelHeld(ReportedAttempt held, UpstreamId upstream) implements RoutingCommand {}
 
   /** Tell a prefill engine that its KV cache is not needed any more. */
   record ReleaseKv(KvHandle handle) implements RoutingCommand {}
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
@@ -44,7 +44,7 @@
   record LoadReported(UpstreamId upstream, LoadReport report) implements RoutingEvent {}
 
   /** An engine listed the attempts that it holds. */
-  record HeldAttemptsListed(UpstreamId upstream, List<HeldAttempt> attempts)
+  record HeldAttemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts)
       implements RoutingEvent {
     /** Copies the list. */
     public HeldAttemptsListed {
--- a/core/src/main/java/org/mustardlatch/core/routing/Topology.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Topology.java
@@ -24,10 +24,10 @@
   private final Map<ModelId, Model> models = new HashMap<>();
   private final Map<Pool, List<Cell>> pools = new HashMap<>();
   private final Map<String, Cell> cells = new HashMap<>();
-  private final Map<UpstreamId, Cell> cellOfEngine = new HashMap<>();
+  private final Map<UpstreamId, Cell> cellByEngine = new HashMap<>();
   private final List<RegionId> regions = new ArrayList<>();
   private final Map<HostId, Member> members = new HashMap<>();
-  private final Map<String, List<HostId>> owners = new HashMap<>();
+  private final Map<String, List<HostId>> admittingNodes = new HashMap<>();
 
   Topology(@Nullable Manifest manifest, List<Member> live) {
     live.forEach(m -> members.put(m.host(), m));
@@ -41,18 +41,18 @@
           engines.computeIfAbsent(new Pool(u.model(), region), p -> new ArrayList<>()).add(u);
         }
       }
-      engines.forEach(this::divide);
+      engines.forEach(this::divideIntoCells);
     }
   }
 
-  private void divide(Pool pool, List<Upstream> engines) {
+  private void divideIntoCells(Pool pool, List<Upstream> engines) {
     int count = Math.ceilDiv(engines.size(), ENGINES_PER_CELL);
     List<List<Upstream>> parts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       parts.add(new ArrayList<>());
     }
     for (Upstream u : engines) {
-      parts.get(Rendezvous.choose(u.id().value(), count)).add(u);
+      parts.get(RendezvousHash.chooseIndex(u.id().value(), count)).add(u);
     }
     Model model = Objects.requireNonNull(models.get(pool.model()));
     List<Cell> result = new ArrayList<>();
@@ -60,7 +60,7 @@
       String name = pool.model() + "/" + pool.region() + "/" + i;
       Cell cell = new Cell(name, model, pool.region(), parts.get(i));
       cells.put(name, cell);
-      parts.get(i).forEach(u -> cellOfEngine.put(u.id(), cell));
+      parts.get(i).forEach(u -> cellByEngine.put(u.id(), cell));
       result.add(cell);
     }
     pools.put(pool, List.copyOf(result));
@@ -92,8 +92,8 @@
   }
 
   /** Returns the cell of an engine, or null when it is not an engine of the manifest. */
-  @Nullable Cell cellOf(UpstreamId engine) {
-    return cellOfEngine.get(engine);
+  @Nullable Cell cellOfEngine(UpstreamId engine) {
+    return cellByEngine.get(engine);
   }
 
   /** Returns the live node, or null. */
@@ -112,13 +112,13 @@
   }
 
   /** Returns the number of live nodes in a region. */
-  int membersIn(RegionId region) {
+  int memberCountIn(RegionId region) {
     return (int) members.values().stream().filter(m -> m.region().equals(region)).count();
   }
 
   /** Returns the live nodes of the cell's region, the admitting node first. */
-  List<HostId> owners(Cell cell) {
-    return owners.computeIfAbsent(
+  List<HostId> admittingNodes(Cell cell) {
+    return admittingNodes.computeIfAbsent(
         cell.name(),
         name -> {
           List<HostId> hosts =
@@ -126,12 +126,12 @@
                   .filter(m -> m.region().equals(cell.region()))
                   .map(Member::host)
                   .toList();
-          return Rendezvous.order(name, hosts, HostId::value);
+          return RendezvousHash.order(name, hosts, HostId::value);
         });
   }
 
   /** Returns the live nodes of all regions in the order in which they own a key. */
-  List<HostId> ownersOf(String key) {
-    return Rendezvous.order(key, members.keySet(), HostId::value);
+  List<HostId> rankedOwners(String key) {
+    return RendezvousHash.order(key, members.keySet(), HostId::value);
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/routing/FairQueueTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/FairQueueTest.java
@@ -12,8 +12,8 @@
 class FairQueueTest {
   private final FairQueue queue = new FairQueue();
 
-  private static Ask ask(String workspace, int number) {
-    return new Ask(
+  private static ReservationRequest request(String workspace, int number) {
+    return new ReservationRequest(
         new AttemptId(new RequestId(workspace + number), 1),
         Fixtures.host(0),
         new WorkspaceId(workspace),
@@ -30,20 +30,20 @@
   private List<String> serve(int count) {
     List<String> served = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Ask next = queue.first(1).getFirst();
-      queue.served(next.attempt());
+      ReservationRequest next = queue.nextRequests(1).getFirst();
+      queue.removeServed(next.attempt());
       served.add(next.workspace().value());
     }
     return served;
   }
 
   @Test
-  void sharesByWeightWhateverTheNumberOfRequests() {
+  void sharesServiceByWeightRegardlessOfRequestCount() {
     for (int i = 0; i < 30; i++) {
-      queue.add(ask("many", i), 1);
+      queue.add(request("many", i), 1);
     }
     for (int i = 0; i < 10; i++) {
-      queue.add(ask("few", i), 2);
+      queue.add(request("few", i), 2);
     }
     List<String> served = serve(9);
 
@@ -51,28 +51,28 @@
   }
 
   @Test
-  void servesAWorkspaceThatWasIdleNextAndNotForItsIdleTime() {
+  void servesAPreviouslyIdleWorkspaceNextWithoutCreditForIdleTime() {
     for (int i = 0; i < 20; i++) {
-      queue.add(ask("busy", i), 1);
+      queue.add(request("busy", i), 1);
     }
     serve(10);
-    queue.add(ask("late", 1), 1);
-    queue.add(ask("late", 2), 1);
-    queue.add(ask("late", 3), 1);
+    queue.add(request("late", 1), 1);
+    queue.add(request("late", 2), 1);
+    queue.add(request("late", 3), 1);
 
     assertThat(serve(5).stream().filter("late"::equals).count()).isAtMost(3);
     assertThat(queue.size()).isEqualTo(8);
   }
 
   @Test
-  void countsWaitingTokensAndForgetsWithdrawnRequests() {
-    queue.add(ask("a", 1), 1);
-    queue.add(ask("a", 2), 1);
-    assertThat(queue.tokensWaiting()).isEqualTo(2000);
+  void countsQueuedTokensWithoutRemovedRequests() {
+    queue.add(request("a", 1), 1);
+    queue.add(request("a", 2), 1);
+    assertThat(queue.queuedPromptTokens()).isEqualTo(2000);
 
-    queue.remove(ask("a", 1).attempt());
-    queue.remove(ask("a", 1).attempt());
-    assertThat(queue.tokensWaiting()).isEqualTo(1000);
-    assertThat(queue.contains(ask("a", 1).attempt())).isFalse();
+    queue.remove(request("a", 1).attempt());
+    queue.remove(request("a", 1).attempt());
+    assertThat(queue.queuedPromptTokens()).isEqualTo(1000);
+    assertThat(queue.contains(request("a", 1).attempt())).isFalse();
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/routing/FakeFleet.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/FakeFleet.java
@@ -231,9 +231,9 @@
     for (Node n : nodes) {
       for (UpstreamId u : n.dead ? List.<UpstreamId>of() : n.router.admittedEngines()) {
         Engine e = engine(u);
-        List<HeldAttempt> held = new ArrayList<>();
+        List<ReportedAttempt> held = new ArrayList<>();
         e.held.forEach(
-            (a, w) -> held.add(new HeldAttempt(a.toString(), w.owner.host, w.incarnation)));
+            (a, w) -> held.add(new ReportedAttempt(a.toString(), w.owner.host, w.incarnation)));
         n.event(new RoutingEvent.HeldAttemptsListed(u, held));
         n.event(new RoutingEvent.LoadReported(u, new LoadReport(held.size(), 0, 100, false)));
       }
--- a/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
@@ -269,8 +269,8 @@
     handle(
         new RoutingEvent.MembersChanged(
             List.of(Fixtures.member(0, OSLO), Fixtures.member(1, OSLO))));
-    HeldAttempt old = new HeldAttempt("x.1", gone, 0);
-    HeldAttempt live = new HeldAttempt("y.1", gone, 1);
+    ReportedAttempt old = new ReportedAttempt("x.1", gone, 0);
+    ReportedAttempt live = new ReportedAttempt("y.1", gone, 1);
     handle(new RoutingEvent.HeldAttemptsListed(new UpstreamId("d0"), List.of(old, live)));
     assertThat(all(RoutingCommand.CancelHeld.class))
         .containsExactly(new RoutingCommand.CancelHeld(old, new UpstreamId("d0")));
--- a/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
@@ -17,72 +17,72 @@
 class PlacerTest {
   private static final long NOW = 100 * SECOND;
   private static final long KV_BYTES = 100_000L * 3_000;
-  private static final long TRANSFER = 20 * MILLI;
-  private static final long GAP = 68 * MILLI;
+  private static final long TRANSFER_NANOS = 20 * MILLI;
+  private static final long TOKEN_GAP_NANOS = 68 * MILLI;
 
-  private final EngineState prefill = engine("p0", UpstreamRole.PREFILL);
-  private final EngineState first = engine("d0", UpstreamRole.DECODE);
-  private final EngineState second = engine("d1", UpstreamRole.DECODE);
-  private final LinkEstimate link = new LinkEstimate();
+  private final EngineState prefillEngine = engine("p0", UpstreamRole.PREFILL);
+  private final EngineState firstDecode = engine("d0", UpstreamRole.DECODE);
+  private final EngineState secondDecode = engine("d1", UpstreamRole.DECODE);
+  private final KvTransferLimiter transferLimiter = new KvTransferLimiter();
   private final Placer placer =
       new Placer(
           new Cell(
               "label/oslo/0",
               Fixtures.manifest(Objective.CREST_AVERSE, List.of()).models().getFirst(),
               Fixtures.OSLO,
-              Stream.of(prefill, first, second).map(e -> e.upstream).toList()),
-          List.of(prefill, first, second),
+              Stream.of(prefillEngine, firstDecode, secondDecode).map(e -> e.upstream).toList()),
+          List.of(prefillEngine, firstDecode, secondDecode),
           new LeavingUpstreams());
 
   PlacerTest() {
-    link.observe(KV_BYTES, TRANSFER, NOW - SECOND);
+    transferLimiter.recordTransfer(KV_BYTES, TRANSFER_NANOS, NOW - SECOND);
   }
 
   @Test
-  void anEngineThatHadOneSlowTransferServesWhileTheOthersAreFull() {
-    first.transferPace.observe(5 * TRANSFER, TRANSFER);
-    first.heldSlots = 3;
-    assertThat(decodeOf(placed())).isSameInstanceAs(second);
-    second.heldSlots = second.upstream.slots();
-    assertThat(decodeOf(placed())).isSameInstanceAs(first);
+  void engineWithOneSlowTransferIsUsedWhenTheOthersAreFull() {
+    firstDecode.transferSlowdown.observe(5 * TRANSFER_NANOS, TRANSFER_NANOS);
+    firstDecode.reservedSlots = 3;
+    assertThat(decodeEngineOf(placeRequest())).isSameInstanceAs(secondDecode);
+    secondDecode.reservedSlots = secondDecode.upstream.slots();
+    assertThat(decodeEngineOf(placeRequest())).isSameInstanceAs(firstDecode);
   }
 
   @Test
-  void anEngineWhoseTokensComeLateGetsNoFurtherStream() {
-    first.tokenPace.observe(4 * GAP, GAP);
-    first.heldSlots = 3;
-    second.heldSlots = second.upstream.slots();
-    assertThat(placed()).isNull();
+  void engineWithSlowTokensGetsNoFurtherStream() {
+    firstDecode.tokenSlowdown.observe(4 * TOKEN_GAP_NANOS, TOKEN_GAP_NANOS);
+    firstDecode.reservedSlots = 3;
+    secondDecode.reservedSlots = secondDecode.upstream.slots();
+    assertThat(placeRequest()).isNull();
   }
 
   @Test
-  void anEngineWhoseTransfersMissTheDeadlineGetsNoFurtherRequest() {
-    first.transferPace.observe(19 * TRANSFER, TRANSFER);
-    first.heldSlots = 3;
-    second.heldSlots = second.upstream.slots();
-    assertThat(placed()).isNull();
+  void engineWhoseTransfersMissTheDeadlineGetsNoFurtherRequest() {
+    firstDecode.transferSlowdown.observe(19 * TRANSFER_NANOS, TRANSFER_NANOS);
+    firstDecode.reservedSlots = 3;
+    secondDecode.reservedSlots = secondDecode.upstream.slots();
+    assertThat(placeRequest()).isNull();
   }
 
   @Test
-  void roomEndsWithTheMemoryWhereItEndsBeforeTheSlots() {
-    assertThat(placer.usableDecodeSlots(30, NOW)).isEqualTo(12);
-    first.heldSlots = 5;
-    first.heldPieces = 150;
-    assertThat(placer.freeDecodeSlots(30, NOW)).isEqualTo(7);
-    assertThat(placer.freeDecodeSlots(1, NOW)).isEqualTo(35);
+  void capacityIsLimitedByMemoryWhenItRunsOutBeforeSlots() {
+    assertThat(placer.totalDecodeCapacity(30, NOW)).isEqualTo(12);
+    firstDecode.reservedSlots = 5;
+    firstDecode.reservedPieces = 150;
+    assertThat(placer.freeDecodeCapacity(30, NOW)).isEqualTo(7);
+    assertThat(placer.freeDecodeCapacity(1, NOW)).isEqualTo(35);
   }
 
   @Test
-  void anEngineThatRegistersNoSlotsHasNoRoom() {
+  void engineThatRegistersNoSlotsHasNoCapacity() {
     EngineState none =
         new EngineState(Fixtures.engine("d2", UpstreamRole.DECODE, "oslo-a", 0), 1000);
-    assertThat(none.capacityFor(30)).isEqualTo(0);
-    assertThat(none.freeFor(30)).isEqualTo(0);
+    assertThat(none.totalCapacityFor(30)).isEqualTo(0);
+    assertThat(none.freeCapacityFor(30)).isEqualTo(0);
   }
 
-  private Placer.@Nullable Placement placed() {
-    Ask ask =
-        new Ask(
+  private Placer.@Nullable Placement placeRequest() {
+    ReservationRequest request =
+        new ReservationRequest(
             new AttemptId(new RequestId("r"), 1),
             Fixtures.host(1),
             Fixtures.WORKSPACE,
@@ -94,11 +94,11 @@
             NOW + 900 * MILLI,
             900 * MILLI,
             List.of());
-    return placer.place(ask, false, link, false, NOW);
+    return placer.place(request, false, transferLimiter, false, NOW);
   }
 
-  private static @Nullable EngineState decodeOf(Placer.@Nullable Placement placement) {
-    return placement == null ? null : placement.decode();
+  private static @Nullable EngineState decodeEngineOf(Placer.@Nullable Placement placement) {
+    return placement == null ? null : placement.decodeEngine();
   }
 
   private static EngineState engine(String name, UpstreamRole role) {
--- a/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
@@ -9,7 +9,7 @@
 import org.mustardlatch.core.manifest.Objective;
 
 class TopologyTest {
-  private static final Manifest LARGE =
+  private static final Manifest LARGE_MANIFEST =
       Fixtures.manifest(Objective.WASTE_AVERSE, Fixtures.pools(240, 360));
 
   private static List<Member> members(int count) {
@@ -21,8 +21,8 @@
   }
 
   @Test
-  void dividesAPoolIntoCellsThatHoldEachEngineOnce() {
-    Topology t = new Topology(LARGE, members(8));
+  void dividesAPoolIntoCellsThatContainEachEngineOnce() {
+    Topology t = new Topology(LARGE_MANIFEST, members(8));
     List<Cell> cells = t.cells(Fixtures.MODEL, Fixtures.OSLO);
 
     assertThat(cells).hasSize(38);
@@ -31,20 +31,21 @@
   }
 
   @Test
-  void movesOnlyTheCellsOfANodeThatIsGone() {
-    Topology before = new Topology(LARGE, members(8));
-    Topology after = new Topology(LARGE, members(7));
+  void reassignsOnlyTheCellsOfARemovedNode() {
+    Topology before = new Topology(LARGE_MANIFEST, members(8));
+    Topology after = new Topology(LARGE_MANIFEST, members(7));
     for (Cell c : before.cells()) {
-      if (!before.owners(c).getFirst().equals(Fixtures.host(7))) {
-        assertThat(after.owners(c).getFirst()).isEqualTo(before.owners(c).getFirst());
+      if (!before.admittingNodes(c).getFirst().equals(Fixtures.host(7))) {
+        assertThat(after.admittingNodes(c).getFirst())
+            .isEqualTo(before.admittingNodes(c).getFirst());
       }
     }
   }
 
   @Test
-  void hasNoOwnerForACellOfARegionWithoutNodes() {
-    Topology t = new Topology(LARGE, List.of(Fixtures.member(0, Fixtures.BERGEN)));
+  void hasNoAdmittingNodeForACellInARegionWithoutNodes() {
+    Topology t = new Topology(LARGE_MANIFEST, List.of(Fixtures.member(0, Fixtures.BERGEN)));
 
-    assertThat(t.owners(t.cells(Fixtures.MODEL, Fixtures.OSLO).getFirst())).isEmpty();
+    assertThat(t.admittingNodes(t.cells(Fixtures.MODEL, Fixtures.OSLO).getFirst())).isEmpty();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommands.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommands.java
@@ -2,8 +2,8 @@
 
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.UpstreamId;
-import org.mustardlatch.core.routing.HeldAttempt;
 import org.mustardlatch.core.routing.KvHandle;
+import org.mustardlatch.core.routing.ReportedAttempt;
 
 /**
  * Carries out what the routing policy wants from engines. No method blocks; results come back as
@@ -20,7 +20,7 @@
   void cancel(AttemptId attempt, UpstreamId upstream);
 
   /** Cancels an attempt of a node that is gone until the engine acknowledges it. */
-  void cancelHeld(HeldAttempt held, UpstreamId upstream);
+  void cancelHeld(ReportedAttempt held, UpstreamId upstream);
 
   /** Frees a KV cache at its prefill engine. */
   void releaseKv(KvHandle handle);
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCalls.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCalls.java
@@ -11,8 +11,8 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.routing.Failure;
-import org.mustardlatch.core.routing.HeldAttempt;
 import org.mustardlatch.core.routing.KvHandle;
+import org.mustardlatch.core.routing.ReportedAttempt;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.daemon.node.ManifestInForce;
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public void cancelHeld(HeldAttempt held, UpstreamId upstream) {
+  public void cancelHeld(ReportedAttempt held, UpstreamId upstream) {
     cancel(held.attempt(), upstream);
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -16,8 +16,8 @@
 import okhttp3.Response;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.UpstreamId;
-import org.mustardlatch.core.routing.HeldAttempt;
 import org.mustardlatch.core.routing.LoadReport;
+import org.mustardlatch.core.routing.ReportedAttempt;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
@@ -116,16 +116,16 @@
   private void readHeld(UpstreamHost host) {
     JsonNode list = get(host, host.url("/v1/requests"));
     if (list.isObject()) {
-      List<HeldAttempt> held = new ArrayList<>();
+      List<ReportedAttempt> held = new ArrayList<>();
       list.path("attempts").forEach(item -> addHeld(held, item));
       events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), held));
     }
   }
 
-  private static void addHeld(List<HeldAttempt> held, JsonNode item) {
+  private static void addHeld(List<ReportedAttempt> held, JsonNode item) {
     try {
       held.add(
-          new HeldAttempt(
+          new ReportedAttempt(
               item.path("attempt").asText(),
               new HostId(item.path("owner").asText()),
               item.path("incarnation").asLong()));
--- a/replay/src/main/java/org/mustardlatch/replay/FakeEngine.java
+++ b/replay/src/main/java/org/mustardlatch/replay/FakeEngine.java
@@ -7,9 +7,9 @@
 import org.mustardlatch.core.manifest.Upstream;
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.routing.Failure;
-import org.mustardlatch.core.routing.HeldAttempt;
 import org.mustardlatch.core.routing.KvHandle;
 import org.mustardlatch.core.routing.LoadReport;
+import org.mustardlatch.core.routing.ReportedAttempt;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 
@@ -83,7 +83,7 @@
   }
 
   /** Drops an attempt by the name that {@link #held} gives. */
-  void cancelHeld(HeldAttempt held) {
+  void cancelHeld(ReportedAttempt held) {
     works().stream()
         .filter(w -> w.attempt().toString().equals(held.attempt()))
         .filter(w -> w.incarnation() == held.incarnation())
@@ -122,9 +122,9 @@
     return new LoadReport(running(), prefill.queued(), memory.free(), upstream.leaving());
   }
 
-  List<HeldAttempt> held() {
+  List<ReportedAttempt> held() {
     return works().stream()
-        .map(w -> new HeldAttempt(w.attempt().toString(), w.owner(), w.incarnation()))
+        .map(w -> new ReportedAttempt(w.attempt().toString(), w.owner(), w.incarnation()))
         .toList();
   }
 
