--- a/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
@@ -17,9 +17,13 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveRefused;
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveWithdraw;
 
-/** The cells that this node admits work to. */
+/**
+ * The cells that this node admits work to: routes admission messages and engine reports to the
+ * {@link CellAdmission} of the cell.
+ */
 final class AdmissionController {
-  // A cell that is asked for by a node with another view of the membership is kept this long.
+  // A node with another view of the membership may send requests for a cell that this node does not
+  // own. Such a cell is dropped after this idle time.
   private static final long UNOWNED_CELL_IDLE_NANOS = 30_000_000_000L;
   private static final long UNKNOWN_CELL_RETRY_NANOS = 500_000_000;
 
@@ -32,17 +36,17 @@
 
   AdmissionController(
       CellAdmission.Environment environment,
-      CellAdmission.CrashListener crashes,
-      LeavingUpstreams leaving,
+      CellAdmission.CrashListener crashListener,
+      LeavingUpstreams leavingUpstreams,
       Topology topology) {
     this.commands = environment.commands();
     this.environment = environment;
-    this.crashListener = crashes;
-    this.leavingUpstreams = leaving;
+    this.crashListener = crashListener;
+    this.leavingUpstreams = leavingUpstreams;
     this.topology = topology;
   }
 
-  /** Takes over the cells that this node now admits to and gives up the others. */
+  /** Takes over the cells that this node now admits to and drops all others. */
   void topologyChanged(Topology next) {
     topology = next;
     admissions.values().removeIf(c -> !shouldKeep(c));
@@ -75,6 +79,7 @@
     return c;
   }
 
+  /** Handles a message of an entry node to the admitting node of a cell. */
   void handle(HostId from, AdmissionMessage message) {
     switch (message) {
       case Reserve r -> {
@@ -114,23 +119,27 @@
   }
 
   private void refuseUnknownCell(HostId from, Reserve r) {
-    CellSummary none = new CellSummary(r.cell(), 0, Long.MAX_VALUE / 4);
+    CellSummary noCapacity = new CellSummary(r.cell(), 0, Long.MAX_VALUE / 4);
     commands.send(
         from,
         new ReserveRefused(
-            r.attempt(), ErrorCode.UPSTREAM_UNAVAILABLE, UNKNOWN_CELL_RETRY_NANOS, none));
+            r.attempt(), ErrorCode.UPSTREAM_UNAVAILABLE, UNKNOWN_CELL_RETRY_NANOS, noCapacity));
   }
 
-  /** Returns the cell, also for a node that takes this one for the admitting node; or null. */
+  /**
+   * Returns the admission of a cell, or null if the manifest has no such cell. Creates it also when
+   * this node is not the admitting node, since the sender may have another view of the membership.
+   */
   private @Nullable CellAdmission findOrCreateAdmission(String name) {
-    CellAdmission known = admissions.get(name);
-    if (known != null) {
-      return known;
+    CellAdmission existing = admissions.get(name);
+    if (existing != null) {
+      return existing;
     }
     Cell cell = topology.cell(name);
     return cell == null ? null : getOrCreateAdmission(cell);
   }
 
+  /** Passes on the load that an engine reports. */
   void loadReported(UpstreamId upstream, LoadReport report) {
     CellAdmission c = findAdmission(upstream);
     if (c != null) {
@@ -138,14 +147,15 @@
     }
   }
 
-  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> held) {
+  /** Passes on the attempts that an engine reports as in progress. */
+  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts) {
     CellAdmission c = findAdmission(upstream);
     if (c != null) {
-      c.attemptsListed(upstream, held);
+      c.attemptsListed(upstream, attempts);
     }
   }
 
-  /** Forgets every reservation; after a long pause other nodes have taken the cells over. */
+  /** Drops every reservation. After a long pause, other nodes have taken over the cells. */
   void dropAllReservations() {
     admissions.clear();
     topologyChanged(topology);
@@ -156,6 +166,7 @@
     return cell == null ? null : admissions.get(cell.name());
   }
 
+  /** Expires reservations of one cell and serves its queue. */
   void tick(String cell) {
     CellAdmission c = admissions.get(cell);
     if (c != null) {
@@ -163,6 +174,7 @@
     }
   }
 
+  /** Runs the periodic work of all cells and drops idle ones that this node does not own. */
   void tickAll() {
     admissions.values().forEach(CellAdmission::tick);
     admissions
--- a/core/src/main/java/org/mustardlatch/core/routing/Cell.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Cell.java
@@ -6,9 +6,10 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * Engines of one model in one region that one node admits work to.
+ * A cell: the engines of one model in one region that share one admitting node. The engines of a
+ * large pool are divided into several cells.
  *
- * @param name unique in the fleet, for example {@code label/oslo/0}
+ * @param name name that is unique in the fleet, for example {@code label/oslo/0}
  * @param engines the engines, in manifest order
  */
 record Cell(String name, Model model, RegionId region, List<Upstream> engines) {
@@ -16,7 +17,7 @@
     engines = List.copyOf(engines);
   }
 
-  /** Returns whether some engine that is not leaving processes prompts by its role. */
+  /** Returns whether an engine that is not leaving has a role that includes prefill. */
   boolean hasPrefillEngine() {
     return engines.stream().anyMatch(e -> e.role().prefills() && !e.leaving());
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -29,37 +29,46 @@
 import org.mustardlatch.core.quarantine.CrashEvidence;
 import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
 
-/** Admission to one cell: reservations, the queue, and what was learned about its engines. */
+/**
+ * Admission to one cell on its admitting node: the reservations, the queue of waiting requests and
+ * the observed state of the engines.
+ */
 final class CellAdmission {
-  /** Time for renewals and request lists to arrive after this node took the cell over. */
+  /** Time for renewals and request lists to arrive after this node takes over the cell. */
   static final long HANDOVER_NANOS = 2_500_000_000L;
 
-  /** How long a reservation lasts beyond what is predicted, nanoseconds. */
+  /** Time that a reservation lasts beyond the predicted first token, nanoseconds. */
   static final long GRANT_MARGIN_NANOS = 2_000_000_000L;
 
-  /** How long a reservation in decode lasts without a renewal, nanoseconds. */
+  /** Time to live of a reservation after each renewal, nanoseconds. */
   static final long DECODE_RESERVATION_NANOS = 20_000_000_000L;
 
-  // Every answer carries a summary; in a burst they need not be computed anew.
+  // Every response carries a summary; in a burst it is not recomputed for each of them.
   private static final long MAX_SUMMARY_AGE_NANOS = 2_000_000;
 
   private static final int QUEUE_LOOKAHEAD = 4;
   private static final long CRASH_BLOCK_NANOS = 3_000_000_000L;
-  // An engine that keeps failing is tried again after 1 s, 2 s, 4 s and so on up to 16 s.
+  // An engine that keeps failing is retried after 1 s, 2 s, 4 s and so on, up to 16 s.
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final long FAILURE_BLOCK_NANOS = 1_000_000_000L;
   private static final long REFUSAL_BLOCK_NANOS = 150_000_000L;
-  // The last ten requests or so make the usual size.
+  // Averages the request size over about the last ten requests.
   private static final double NEWEST_SIZE_WEIGHT = 0.1;
-  // Only until departures were observed: a slot is held for about 10 s.
+  // Departures per slot and second until departures have been observed: a request occupies a slot
+  // for about 10 s.
   private static final double INITIAL_DEPARTURES_PER_SLOT = 0.1;
 
-  /** What a cell needs from its node. */
+  /** Collaborators that all cells of a node share. */
   record Environment(
       Effects commands, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
 
-  /** Receives crashes that a cell recognised. */
+  /** Receives engine crashes that a cell detects. */
   interface CrashListener {
+    /**
+     * Reports a crash.
+     *
+     * @param running the requests that ran on the engine
+     */
     void engineCrashed(UpstreamId upstream, List<Fingerprint> running);
   }
 
@@ -82,15 +91,16 @@
   private long lastActivityNanos;
   private double averageRequestPieces;
 
-  CellAdmission(Cell cell, Environment env, CrashListener crashes, LeavingUpstreams leaving) {
+  CellAdmission(
+      Cell cell, Environment env, CrashListener crashListener, LeavingUpstreams leavingUpstreams) {
     this.cell = cell;
     this.commands = env.commands();
     this.evidence = env.evidence();
     this.settings = env.settings();
     this.retryAfterJitter = new RetrySpread(env.random());
-    this.crashListener = crashes;
-    this.leavingUpstreams = leaving;
-    this.placer = placer(cell);
+    this.crashListener = crashListener;
+    this.leavingUpstreams = leavingUpstreams;
+    this.placer = createPlacer(cell);
     this.handoverUntilNanos = commands.now() + HANDOVER_NANOS;
     this.lastActivityNanos = commands.now();
   }
@@ -115,27 +125,31 @@
     return queue.size();
   }
 
-  /** Returns the capacity of the cell, at most {@link #MAX_SUMMARY_AGE_NANOS} old. */
+  /**
+   * Returns the free capacity and predicted wait of the cell, at most {@link
+   * #MAX_SUMMARY_AGE_NANOS} old.
+   */
   CellSummary summary() {
     long now = commands.now();
-    CellSummary known = summary;
-    if (known == null || now - summaryComputedNanos >= MAX_SUMMARY_AGE_NANOS) {
+    CellSummary current = summary;
+    if (current == null || now - summaryComputedNanos >= MAX_SUMMARY_AGE_NANOS) {
       int free = Math.max(0, freeDecodeCapacity() - queue.size());
-      known = new CellSummary(cell.name(), free, predictedWaitNanos(null));
-      summary = known;
+      current = new CellSummary(cell.name(), free, predictedWaitNanos(null));
+      summary = current;
       summaryComputedNanos = now;
     }
-    return known;
+    return current;
   }
 
   /**
-   * Answers an request with a grant, a place in the queue or a refusal; a repeated one likewise.
+   * Responds to a request with a grant, a place in the queue or a refusal. A repeated request gets
+   * the response that matches its current state.
    */
   void reserve(ReservationRequest request) {
     lastActivityNanos = commands.now();
-    Reservation held = reservations.get(request.attempt());
-    if (held != null) {
-      sendGrant(held);
+    Reservation existing = reservations.get(request.attempt());
+    if (existing != null) {
+      sendGrant(existing);
       return;
     }
     if (queue.contains(request.attempt())) {
@@ -157,7 +171,7 @@
       case DEADLINE_UNREACHABLE -> refuseOverloaded(request);
       case NO_CAPACITY -> {
         if (request.kvSource() != null) {
-          // The KV cache may expire while it waits, and the entry node has a better way out.
+          // The KV cache may expire while the request waits. The entry node can recover better.
           refuseOverloaded(request);
         } else {
           enqueue(request);
@@ -166,6 +180,7 @@
     }
   }
 
+  /** Removes an attempt from the queue and frees its reservation. */
   void withdraw(AttemptId attempt) {
     queue.remove(attempt);
     Reservation r = reservations.remove(attempt);
@@ -175,7 +190,7 @@
     }
   }
 
-  /** Keeps a reservation, and learns from how long its stage took. */
+  /** Extends a reservation and updates the engine estimates with the duration of its stage. */
   void renew(HostId from, ReservationRenew renew) {
     Reservation r = reservations.get(renew.attempt());
     if (r == null) {
@@ -187,7 +202,7 @@
     }
     if (renew.stage() == Stage.TRANSFER && r.stage == Stage.PREFILL) {
       if (r.prefillEngine != null) {
-        r.prefillEngine.consecutiveFailures = 0;
+        r.prefillEngine.failureCount = 0;
       }
       endPrefill(r, true);
       enterStage(r, Stage.TRANSFER);
@@ -203,7 +218,7 @@
     serveQueue();
   }
 
-  /** Frees what an attempt holds and takes note of how it ended. */
+  /** Frees the reservation of an attempt and records its outcome for the engine. */
   void release(ReservationRelease release) {
     queue.remove(release.attempt());
     Reservation r = reservations.get(release.attempt());
@@ -219,6 +234,7 @@
     serveQueue();
   }
 
+  /** Records the load that an engine reports. */
   void loadReported(UpstreamId upstream, LoadReport report) {
     EngineState e = engines.get(upstream);
     if (e != null) {
@@ -226,41 +242,42 @@
     }
   }
 
-  /** Counts the attempts of other nodes that this one has no reservation for. */
-  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> held) {
+  /** Counts the attempts in progress on an engine that this node has no reservation for. */
+  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts) {
     EngineState e = engines.get(upstream);
     if (e == null) {
       return;
     }
-    int unknown = 0;
-    Set<String> known = new HashSet<>();
+    int unreserved = 0;
+    Set<String> reserved = new HashSet<>();
     for (Reservation r : reservations.values()) {
       if (r.prefillEngine == e || r.decodeEngine == e) {
-        known.add(r.attempt.toString());
+        reserved.add(r.attempt.toString());
       }
     }
-    for (ReportedAttempt h : held) {
-      if (!known.contains(h.attempt())) {
-        unknown++;
+    for (ReportedAttempt a : attempts) {
+      if (!reserved.contains(a.attempt())) {
+        unreserved++;
       }
     }
-    e.unreservedAttempts = unknown;
+    e.unreservedAttempts = unreserved;
     serveQueue();
   }
 
-  /** Takes over a new list of engines; what is reserved on those that stay is kept. */
+  /** Applies a new list of engines; reservations on engines that remain are kept. */
   void cellChanged(Cell next) {
     if (!next.equals(cell)) {
       cell = next;
-      placer = placer(next);
+      placer = createPlacer(next);
     }
   }
 
-  private Placer placer(Cell next) {
-    Map<UpstreamId, EngineState> before = new HashMap<>(engines);
+  /** Returns a placer for the cell; the state of engines that remain is kept. */
+  private Placer createPlacer(Cell next) {
+    Map<UpstreamId, EngineState> previous = new HashMap<>(engines);
     engines.clear();
     for (Upstream u : next.engines()) {
-      EngineState e = before.get(u.id());
+      EngineState e = previous.get(u.id());
       if (e == null) {
         e = new EngineState(u, next.model().memoryPieceTokens());
       } else {
@@ -271,7 +288,7 @@
     return new Placer(next, engines.values(), leavingUpstreams);
   }
 
-  /** Drops what nodes hold that are gone. */
+  /** Drops reservations and queued requests of nodes that are dead or removed. */
   void removeReservationsOfDeadNodes(Predicate<HostId> alive) {
     for (Reservation r : new ArrayList<>(reservations.values())) {
       if (!alive.test(r.owner)) {
@@ -279,15 +296,15 @@
         freeReservation(r, false);
       }
     }
-    for (ReservationRequest a : queue.allRequests()) {
-      if (!alive.test(a.requester())) {
-        queue.remove(a.attempt());
+    for (ReservationRequest request : queue.allRequests()) {
+      if (!alive.test(request.requester())) {
+        queue.remove(request.attempt());
       }
     }
     serveQueue();
   }
 
-  /** Drops reservations that were not renewed and serves the queue. */
+  /** Drops expired reservations, refuses requests past their deadline and serves the queue. */
   void tick() {
     long now = commands.now();
     placer.decayIdleEstimates(now);
@@ -313,6 +330,7 @@
     DEADLINE_UNREACHABLE
   }
 
+  /** Grants queued requests in fair order while engines have free capacity. */
   private void serveQueue() {
     boolean progress = true;
     while (progress && queue.size() > 0 && placer.mayHaveCapacity(commands.now())) {
@@ -357,13 +375,17 @@
     return GrantResult.GRANTED;
   }
 
+  /** Returns the first-token deadline less the safety margin for predictions. */
   private long latestFirstTokenNanos(ReservationRequest request) {
     double margin =
         request.kvSource() == null ? settings.policyParameters().deadlineMarginShare() : 0;
     return request.firstTokenDeadlineNanos() - (long) (margin * request.budgetNanos());
   }
 
-  /** Returns whether a prompt too long for its deadline on any engine may use spare capacity. */
+  /**
+   * Returns whether a request may be granted past its deadline: its prompt is too long for the
+   * deadline on any engine, and there is spare capacity.
+   */
   private boolean mayExceedDeadline(ReservationRequest request, Placer.Placement p) {
     return request.kvSource() == null
         && p.nominalPrefillNanos()
@@ -391,7 +413,7 @@
     if (prefill == null) {
       r.stage = Stage.TRANSFER;
     } else {
-      // On a mixed engine that does both, prompt and answer share one slot and one allocation.
+      // On an engine that runs both stages, prompt and output share one slot and one allocation.
       reserveSlot(prefill, r, prefill == p.decodeEngine() ? r.decodePieces : r.prefillPieces);
       r.prefillEngine = prefill;
       r.kvSource = prefill.upstream.id();
@@ -488,7 +510,7 @@
     r.tokensUpdatedNanos = now;
   }
 
-  /** Takes over a reservation that another admitting node granted. */
+  /** Records a reservation that another admitting node granted. */
   private void adoptReservation(HostId from, ReservationRenew renew) {
     EngineState e = engines.get(renew.upstream());
     if (e == null) {
@@ -505,7 +527,7 @@
     reservations.put(r.attempt, r);
   }
 
-  /** Follows an adopted reservation from its prefill engine to its decode engine. */
+  /** Moves an adopted reservation from its prefill engine to its decode engine. */
   private void moveAdoptedReservation(Reservation r, ReservationRenew renew) {
     EngineState next = engines.get(renew.upstream());
     if (next != null && r.decodeEngine != null && next != r.decodeEngine) {
@@ -522,18 +544,18 @@
       case REFUSED ->
           e.blockedUntilNanos = Math.max(e.blockedUntilNanos, now + REFUSAL_BLOCK_NANOS);
       case FAILED -> {
-        e.blockFor(
-            now, FAILURE_BLOCK_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, e.consecutiveFailures));
-        e.consecutiveFailures++;
+        e.blockFor(now, FAILURE_BLOCK_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, e.failureCount));
+        e.failureCount++;
         if (r != null && r.stage == Stage.TRANSFER) {
           transferLimiter.reduceLimit(now);
         }
       }
-      case CRASHED -> crashed(e, r);
+      case CRASHED -> recordCrash(e, r);
     }
   }
 
-  private void crashed(EngineState e, @Nullable Reservation reporting) {
+  /** Blocks a crashed engine and reports the requests that ran on it, once per crash. */
+  private void recordCrash(EngineState e, @Nullable Reservation reporting) {
     long now = commands.now();
     e.blockFor(now, CRASH_BLOCK_NANOS);
     e.prefixIndex.clear();
@@ -555,6 +577,7 @@
     crashListener.engineCrashed(e.upstream.id(), running);
   }
 
+  /** Queues a request, or refuses it if its predicted wait exceeds the deadline. */
   private void enqueue(ReservationRequest request) {
     long wait = predictedWaitNanos(request);
     if (commands.now() + wait + shortestServiceNanos(request) > latestFirstTokenNanos(request)) {
@@ -574,15 +597,17 @@
             : averageRequestPieces + NEWEST_SIZE_WEIGHT * (pieces - averageRequestPieces);
   }
 
-  /** Returns the requests of the usual size that there is room for: slots and KV memory count. */
+  /** Returns the number of average-sized requests that fit into free slots and KV memory. */
   private int freeDecodeCapacity() {
     return placer.freeDecodeCapacity((int) averageRequestPieces, commands.now());
   }
 
+  /** Returns the number of average-sized requests that fit when the engines are empty. */
   private int totalDecodeCapacity() {
     return placer.totalDecodeCapacity((int) averageRequestPieces, commands.now());
   }
 
+  /** Returns the predicted prefill and transfer time on the fastest prefill engine. */
   private long shortestServiceNanos(ReservationRequest request) {
     double rate = 0;
     for (EngineState e : placer.prefillEngines()) {
@@ -593,7 +618,11 @@
         + transferLimiter.predictedTransferNanos(bytes);
   }
 
-  /** Returns the predicted wait of a request before its prefill, nanoseconds. */
+  /**
+   * Returns the predicted wait of a request before its prefill, nanoseconds.
+   *
+   * @param request null for a request behind all those in the queue
+   */
   private long predictedWaitNanos(@Nullable ReservationRequest request) {
     long now = commands.now();
     WorkspaceId workspace = request == null ? null : request.workspace();
@@ -605,19 +634,20 @@
       return Long.MAX_VALUE / 4;
     }
     long prefillWait = next + (long) (tokens / rate);
-    int missing = queue.size() + 1 - freeDecodeCapacity();
-    if (missing <= 0) {
+    int missingSlots = queue.size() + 1 - freeDecodeCapacity();
+    if (missingSlots <= 0) {
       return prefillWait;
     }
     double initial = INITIAL_DEPARTURES_PER_SLOT * Math.max(1, totalDecodeCapacity());
-    return Math.max(prefillWait, (long) (missing * 1e9 / departureRate.perSecond(now, initial)));
+    return Math.max(
+        prefillWait, (long) (missingSlots * 1e9 / departureRate.perSecond(now, initial)));
   }
 
   private void refuseOverloaded(ReservationRequest request) {
     long budget = Math.max(1, request.budgetNanos());
     Duration after = retryAfterJitter.draw(summary().predictedWaitNanos(), budget);
-    boolean none = totalDecodeCapacity() == 0;
-    refuse(request, none ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
+    boolean noEngine = totalDecodeCapacity() == 0;
+    refuse(request, noEngine ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
   }
 
   private void refuse(ReservationRequest request, ErrorCode code, Duration after) {
--- a/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
@@ -14,13 +14,17 @@
 import org.mustardlatch.core.quarantine.CrashEvidence;
 import org.mustardlatch.core.quarantine.SuspectRuns;
 
-/** Crash evidence of the fleet as this node knows it, and the permissions that it gives. */
+/**
+ * Exchanges crash evidence with the other nodes, and grants run permissions for suspect
+ * fingerprints that this node owns.
+ */
 final class CrashEvidenceCoordinator implements CellAdmission.CrashListener {
-  // Two admitting nodes may report one crash while a cell changes hands. Engines take longer than
-  // this to come back, so two reports within it are about the same crash.
+  // Two admitting nodes may report the same crash during a handover of the cell. Engines take
+  // longer than this to restart, so reports of two nodes within this time are of one crash.
   private static final long DUPLICATE_REPORT_NANOS = 2_500_000_000L;
 
-  // Bounds what a joining node is sent; crashes are few in the 10 min that evidence lasts.
+  // Bounds the reports sent to a joining node. Few crashes happen within the 10 min lifetime of
+  // evidence.
   private static final int MAX_RECENT_REPORTS = 200;
 
   private record RecentReport(CrashReport report, long receivedNanos) {}
@@ -34,8 +38,8 @@
   private long incarnation;
 
   CrashEvidenceCoordinator(
-      Effects fx, CrashEvidence evidence, Topology topology, long incarnation) {
-    this.commands = fx;
+      Effects commands, CrashEvidence evidence, Topology topology, long incarnation) {
+    this.commands = commands;
     this.evidence = evidence;
     this.topology = topology;
     this.incarnation = incarnation;
@@ -46,7 +50,7 @@
     incarnation = nextIncarnation;
   }
 
-  /** Records a crash that this node recognised and tells every node. */
+  /** Records a crash that this node detected and broadcasts it. */
   @Override
   public void engineCrashed(UpstreamId upstream, List<Fingerprint> running) {
     crashCount++;
@@ -56,19 +60,19 @@
     broadcast(report);
   }
 
-  /** Tells every node that a suspect ran to its end. */
+  /** Clears a suspect that ran to its end without a crash, on every node. */
   void clearSuspect(Fingerprint fingerprint) {
     evidence.clear(fingerprint);
     suspectRuns.ended(fingerprint);
     broadcast(new Cleared(fingerprint));
   }
 
-  /** Returns the nodes that own a fingerprint, the owner first. */
+  /** Returns the live nodes in the order in which they own a fingerprint, the owner first. */
   List<HostId> ownersOf(Fingerprint fingerprint) {
     return topology.rankedOwners(fingerprint.value());
   }
 
-  /** Handles a message; permissions for requests of this node are not handled here. */
+  /** Handles a message about crash evidence, except permissions for requests of this node. */
   void handle(HostId from, EvidenceMessage message) {
     switch (message) {
       case CrashReport r -> recordReport(r);
@@ -89,11 +93,13 @@
     }
   }
 
+  /** Drops expired permissions and reports. */
   void tick() {
     suspectRuns.expire(commands.now());
     recentReports.removeIf(r -> commands.now() - r.receivedNanos() >= CrashEvidence.LIFETIME_NANOS);
   }
 
+  /** Sends a message to all other live nodes. */
   void broadcast(EvidenceMessage message) {
     for (Member m : topology.members()) {
       if (!m.host().equals(commands.self())) {
@@ -102,11 +108,12 @@
     }
   }
 
-  /** Tells a node that joined about the crashes that it missed. */
+  /** Sends the recent crash reports to a node that joined. */
   void sendRecentReports(HostId host) {
     recentReports.forEach(r -> commands.send(host, r.report()));
   }
 
+  /** Records a report once; reports of the same crash by other nodes share its crash ID. */
   private void recordReport(CrashReport report) {
     long now = commands.now();
     if (recentReports.stream().anyMatch(r -> r.report().crashId().equals(report.crashId()))) {
@@ -129,8 +136,8 @@
     report.running().forEach(suspectRuns::ended);
   }
 
-  private static boolean isSameReporter(RecentReport known, CrashReport report) {
-    return reporter(known.report().crashId()).equals(reporter(report.crashId()));
+  private static boolean isSameReporter(RecentReport earlier, CrashReport report) {
+    return reporter(earlier.report().crashId()).equals(reporter(report.crashId()));
   }
 
   private static String reporter(String crashId) {
--- a/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
@@ -1,6 +1,9 @@
 package org.mustardlatch.core.routing;
 
-/** Rate at which decode slots of a cell become free, from windows of one second. */
+/**
+ * The rate at which decode slots of a cell become free, as an exponentially weighted mean over
+ * windows of one second.
+ */
 final class DepartureRate {
   private static final long WINDOW_NANOS = 1_000_000_000;
   private static final double NEWEST_WEIGHT = 0.4;
@@ -9,6 +12,7 @@
   private int departuresInWindow;
   private long windowStartNanos = Long.MIN_VALUE;
 
+  /** Records that a request finished and freed its slot. */
   void recordDeparture(long now) {
     advanceWindow(now);
     departuresInWindow++;
@@ -17,11 +21,12 @@
   /**
    * Returns departures per second.
    *
-   * @param initial the answer before a whole window was observed
+   * @param initialRate the rate to return before a whole window was observed; a tenth of it is the
+   *     lower bound afterwards
    */
-  double perSecond(long now, double initial) {
+  double perSecond(long now, double initialRate) {
     advanceWindow(now);
-    return perSecond < 0 ? initial : Math.max(perSecond, initial * 0.1);
+    return perSecond < 0 ? initialRate : Math.max(perSecond, initialRate * 0.1);
   }
 
   private void advanceWindow(long now) {
--- a/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import org.mustardlatch.core.manifest.Upstream;
 
-/** What an admitting node knows about one engine: what it reserved there and how fast it is. */
+/** The state of one engine on the admitting node: reservations and observed speed. */
 final class EngineState {
-  // Covers the way of the grant to the engine and of the news of its end back; without it short
-  // prefills would look like stragglers.
+  // Covers the latency of the grant to the engine and of the report of the end of the prefill.
+  // Without it, engines with short prefills would be taken for slow ones.
   private static final long PREFILL_OVERHEAD_NANOS = 4_000_000;
 
-  // Start of a process, connection set-up and scheduling make single prefills late by tens of
-  // milliseconds. Without the allowance one short prompt made its engine look 20 times too slow.
+  // Process start, connection set-up and scheduling delay single prefills by tens of milliseconds.
+  // Without this allowance, one short prompt made its engine look 20 times too slow.
   private static final long PREFILL_JITTER_NANOS = 50_000_000;
-  // A prefill past its predicted end is expected to take this share of its age on top.
+  // A prefill past its predicted end is expected to take this share of its age in addition.
   private static final double OVERDUE_REMAINING_SHARE = 0.3;
   private static final long SHORT_BLOCK_NANOS = 300_000_000;
 
   private static final int MIN_PREFIX_BLOCKS = 64;
 
-  /** The engine as the manifest in force states it. */
+  /** The engine as the active manifest declares it. */
   Upstream upstream;
 
   final SlowdownEstimate prefillSlowdown = new SlowdownEstimate();
@@ -28,46 +28,54 @@
   final PrefixIndex prefixIndex;
   final ProbeLimiter probeLimiter = new ProbeLimiter();
 
-  /** Prefills granted and not known to have ended, oldest first. */
+  /** Prefills that were granted and not yet reported as ended, oldest first. */
   final ArrayDeque<Reservation> pendingPrefills = new ArrayDeque<>();
 
+  /** Prefill and decode slots reserved on this engine. */
   int reservedSlots;
+
+  /** KV memory reserved on this engine, pieces. */
   int reservedPieces;
+
+  /** Reservations of requests that are suspected of crashing engines. */
   int suspectCount;
 
-  /** Attempts that the engine holds for nodes that did not tell this one. */
+  /** Attempts in progress on the engine that this node has no reservation for. */
   int unreservedAttempts;
 
+  /** Running requests in the last load report; the report lags behind. */
   int reportedRunningRequests;
 
-  /** Decode slots of reservations that this node granted itself. */
+  /** Decode slots of reservations that this node granted, without adopted ones. */
   int locallyGrantedDecodeSlots;
 
-  /** Time before which no work is sent, after a crash or a refusal. */
+  /** Time before which no work is sent, after a crash, failure or refusal; monotonic. */
   long blockedUntilNanos = Long.MIN_VALUE;
 
-  /** Failures since the engine last finished something. */
-  int consecutiveFailures;
+  /** Failures since the engine last finished a prefill. */
+  int failureCount;
 
+  /** Time from which the oldest pending prefill is counted as running. */
   private long headPrefillStartNanos;
 
   EngineState(Upstream upstream, int pieceTokens) {
     this.upstream = upstream;
-    // Cached prefixes lie in the KV memory of the engine, so they can't be more than it holds.
+    // Cached prefixes are stored in the KV memory of the engine, which bounds their number.
     int blocks = upstream.memoryPieces() * pieceTokens / PrefixIndex.BLOCK_TOKENS;
     this.prefixIndex = new PrefixIndex(Math.max(MIN_PREFIX_BLOCKS, blocks));
   }
 
+  /** Returns whether work can be sent now: the engine is neither leaving nor blocked. */
   boolean isUsable(LeavingUpstreams leaving, long now) {
     return !upstream.leaving() && now >= blockedUntilNanos && !leaving.contains(upstream.id(), now);
   }
 
-  /** Returns whether work can be sent now or after a short block, such as after a refusal. */
+  /** Returns whether work can be sent now or after a block of at most 300 ms. */
   boolean isUsableSoon(LeavingUpstreams leaving, long now) {
     return isUsable(leaving, Math.max(now, Math.min(blockedUntilNanos, now + SHORT_BLOCK_NANOS)));
   }
 
-  /** Sends no work for a while. */
+  /** Blocks the engine for new work for at least {@code durationNanos} from now. */
   void blockFor(long now, long durationNanos) {
     blockedUntilNanos = Math.max(blockedUntilNanos, now + durationNanos);
   }
@@ -77,8 +85,8 @@
   }
 
   /**
-   * Returns the slots that a new admitting node may grant before it has heard of all reservations
-   * of its predecessor: half of those that the engine reports as free.
+   * Returns the slots that a new admitting node may grant before it has received all reservations
+   * of its predecessor: half of the slots that the engine reports as free.
    */
   int freeSlotsInHandover() {
     int half =
@@ -86,7 +94,7 @@
     return Math.min(half, freeSlots());
   }
 
-  /** Returns how many more requests of {@code pieces} of KV memory it has room for. */
+  /** Returns how many more requests of {@code pieces} of KV memory the engine can take. */
   int freeCapacityFor(int pieces) {
     int free = freeSlots();
     if (upstream.memoryPieces() == 0) {
@@ -96,8 +104,8 @@
   }
 
   /**
-   * Returns how many requests of {@code pieces} of KV memory it holds when empty. Memory counts as
-   * room for one at least: some requests are smaller than the usual one.
+   * Returns how many requests of {@code pieces} of KV memory the empty engine can take. Memory
+   * alone never reduces this below one: some requests are smaller than the average.
    */
   int totalCapacityFor(int pieces) {
     int slots = upstream.slots();
@@ -106,17 +114,22 @@
         : Math.min(slots, Math.max(1, upstream.memoryPieces() / Math.max(1, pieces)));
   }
 
+  /** Returns whether {@code pieces} of KV memory are free, or the engine states no memory size. */
   boolean hasFreeMemory(int pieces) {
     return upstream.memoryPieces() == 0 || reservedPieces + pieces <= upstream.memoryPieces();
   }
 
-  /** Returns the duration of a prefill at the rate that the manifest states, nanoseconds. */
+  /**
+   * Returns the duration of a prefill at the rate that the manifest declares, without the tokens
+   * that are probably cached, nanoseconds.
+   */
   long nominalPrefillNanos(int promptTokens, List<Long> prefix) {
     int rate = Math.max(1, upstream.prefillTokensPerSecond());
     int tokens = promptTokens - prefixIndex.cachedTokens(prefix, promptTokens);
     return PREFILL_OVERHEAD_NANOS + (long) (tokens * 1e9 / rate);
   }
 
+  /** Adds a granted prefill behind the pending ones. */
   void prefillGranted(Reservation r, long now) {
     if (pendingPrefills.isEmpty()) {
       headPrefillStartNanos = now;
@@ -125,8 +138,8 @@
   }
 
   /**
-   * Takes a prefill off the engine. A finished one tells how fast the engine is, and so does one
-   * that was given up after its predicted end.
+   * Removes a prefill. Updates the slowdown estimate if the prefill finished, or if it was
+   * abandoned after its predicted end.
    */
   void prefillEnded(Reservation r, long now, boolean finished) {
     boolean first = pendingPrefills.peek() == r;
@@ -141,7 +154,7 @@
     }
   }
 
-  /** Returns the pace of prefills with the age of the one in progress taken into account. */
+  /** Returns the prefill slowdown; a prefill in progress past its predicted end raises it. */
   double currentPrefillSlowdown(long now) {
     Reservation first = pendingPrefills.peek();
     if (first == null) {
@@ -151,7 +164,7 @@
     return Math.max(prefillSlowdown.ratio(), (double) age / first.nominalPrefillNanos);
   }
 
-  /** Takes up to the usual noise off the part of a duration that exceeds the nominal one. */
+  /** Subtracts the jitter allowance from the part of a duration beyond the nominal one. */
   private static long subtractJitter(long durationNanos, long nominalNanos) {
     long excess = durationNanos - nominalNanos;
     return excess <= 0 ? durationNanos : nominalNanos + Math.max(0, excess - PREFILL_JITTER_NANOS);
@@ -160,10 +173,10 @@
   /** Returns the predicted time until the prefills granted so far have ended, nanoseconds. */
   long prefillBacklogNanos(long now) {
     long sum = 0;
-    double pace = prefillSlowdown.ratio();
+    double slowdown = prefillSlowdown.ratio();
     boolean first = true;
     for (Reservation r : pendingPrefills) {
-      double predicted = r.nominalPrefillNanos * pace;
+      double predicted = r.nominalPrefillNanos * slowdown;
       if (first) {
         long age = now - headPrefillStartNanos;
         sum +=
--- a/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
@@ -10,7 +10,10 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** Start-time fair queueing over workspaces by weight; cost is prefill work. */
+/**
+ * Start-time fair queueing (SFQ) of reservation requests: workspaces share the service by weight,
+ * and the cost of a request is its number of prompt tokens.
+ */
 final class FairQueue {
   private static final Comparator<QueuedRequest> BY_START_TAG =
       Comparator.<QueuedRequest>comparingDouble(w -> w.startTag)
@@ -39,7 +42,7 @@
   /**
    * Adds a request.
    *
-   * @param weight share of its workspace, greater than 0
+   * @param weight weight of the workspace of the request, greater than 0
    */
   void add(ReservationRequest request, double weight) {
     WorkspaceId workspace = request.workspace();
@@ -51,7 +54,7 @@
     totalPromptTokens += request.promptTokens();
   }
 
-  /** Returns the requests that would be served next, at most {@code count}. */
+  /** Returns the next requests in service order, at most {@code count}. */
   List<ReservationRequest> nextRequests(int count) {
     List<ReservationRequest> result = new ArrayList<>(count);
     for (QueuedRequest w : byStartTag) {
@@ -63,20 +66,20 @@
     return result;
   }
 
-  /** Removes a request that was granted; virtual time moves to its start. */
+  /** Removes a request that was granted and advances the virtual time to its start tag. */
   void removeServed(AttemptId attempt) {
     QueuedRequest w = remove(attempt);
     if (w != null) {
       virtualTime = Math.max(virtualTime, w.startTag);
     }
     if (byStartTag.isEmpty()) {
-      // An idle queue owes nothing to anyone, and forgotten workspaces must not stay in the map.
+      // An empty queue has no backlog to share, and inactive workspaces must not stay in the map.
       lastFinishTag.clear();
       virtualTime = 0;
     }
   }
 
-  /** Removes a request; returns null when it is not in the queue. */
+  /** Removes and returns a request; returns null if it is not in the queue. */
   @Nullable QueuedRequest remove(AttemptId attempt) {
     QueuedRequest w = byAttempt.remove(attempt);
     if (w != null) {
@@ -94,7 +97,7 @@
     return byStartTag.size();
   }
 
-  /** Returns the prompt tokens that would be served before a new request of a workspace. */
+  /** Returns the prompt tokens to be served before a new request of a workspace. */
   long promptTokensAhead(WorkspaceId workspace) {
     double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
     long sum = 0;
@@ -112,7 +115,7 @@
     return totalPromptTokens;
   }
 
-  /** Returns the requests in the order in which they would be served. */
+  /** Returns all requests in service order. */
   List<ReservationRequest> allRequests() {
     List<ReservationRequest> result = new ArrayList<>(byStartTag.size());
     byStartTag.forEach(w -> result.add(w.request));
--- a/core/src/main/java/org/mustardlatch/core/routing/KvTransferLimiter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/KvTransferLimiter.java
@@ -1,23 +1,23 @@
 package org.mustardlatch.core.routing;
 
 /**
- * Share of the links that the KV transfers of a cell use. The manifest does not state the rate or
- * the layout of links within a region, so the number of attempts between prefill and decode is
- * limited by what was observed: it falls when transfers come near the lifetime of an exported KV
- * cache and grows while they are short.
+ * Limits the concurrent KV transfers of a cell and predicts their duration. The manifest does not
+ * state the rate or the topology of links within a region, so the limit on attempts between grant
+ * and end of transfer adapts to observed durations: it decreases multiplicatively when transfers
+ * approach the lifetime of an exported KV cache, and increases while they are short.
  */
 final class KvTransferLimiter {
   private static final double NEWEST_WEIGHT = 0.2;
-  // Exported KV caches live for 0.8 s; a transfer that takes half of that is near failure.
+  // The lifetime of exported KV caches is 0.8 s; a transfer that takes half of that may soon fail.
   private static final long SLOW_TRANSFER_NANOS = 400_000_000;
   private static final long FAST_TRANSFER_NANOS = 200_000_000;
   private static final double DECREASE_FACTOR = 0.8;
   private static final double MIN_LIMIT = 2;
   private static final double MAX_LIMIT = 1024;
-  // One congestion lets several transfers end late; it must lower the limit once.
+  // One congestion event slows several transfers, but must lower the limit only once.
   private static final long DECREASE_INTERVAL_NANOS = 400_000_000;
 
-  // An estimate without an observation for this long loses a tenth at each tick of 100 ms.
+  // After this time without an observation, each tick (100 ms) reduces the estimate by a tenth.
   private static final long DECAY_AFTER_NANOS = 500_000_000;
   private static final double DECAY_FACTOR = 0.9;
 
@@ -27,15 +27,17 @@
   private int inUse;
   private long nextDecreaseNanos = Long.MIN_VALUE;
 
-  /** Reserves a share for an attempt from its grant until its transfer has ended. */
+  /** Acquires a permit for an attempt, from its grant until the end of its transfer. */
   void acquire() {
     inUse++;
   }
 
+  /** Releases a permit. */
   void release() {
     inUse--;
   }
 
+  /** Returns whether another permit is free. */
   boolean hasFreeCapacity() {
     return inUse < limit;
   }
@@ -45,12 +47,12 @@
     return (long) (nanosPerByte * bytes);
   }
 
-  /** Learns from a finished transfer. */
+  /** Updates the estimate and the limit with a finished transfer. */
   void recordTransfer(long bytes, long durationNanos, long now) {
     if (bytes <= 0 || durationNanos < 0) {
       return;
     }
-    // What takes longer waited for the engine; it says nothing of the link.
+    // The time beyond this was spent waiting for the engine and says nothing about the link.
     double observed = (double) Math.min(durationNanos, SLOW_TRANSFER_NANOS) / bytes;
     lastObservationNanos = now;
     nanosPerByte =
@@ -62,14 +64,17 @@
     }
   }
 
-  /** Lets an old estimate fade. Requests that were refused for it could never correct it. */
+  /**
+   * Decays an estimate without recent observations. If requests are refused because of it, no new
+   * observation could correct it.
+   */
   void decayEstimate(long now) {
     if (now - lastObservationNanos > DECAY_AFTER_NANOS) {
       nanosPerByte *= DECAY_FACTOR;
     }
   }
 
-  /** Lowers the limit after a transfer that was slow or failed. */
+  /** Lowers the limit after a slow or failed transfer. */
   void reduceLimit(long now) {
     if (now >= nextDecreaseNanos) {
       limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * Math.min(limit, inUse + 1));
--- a/core/src/main/java/org/mustardlatch/core/routing/LeavingUpstreams.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/LeavingUpstreams.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Upstreams that some node saw a signal of leaving of. */
+/**
+ * The upstreams that are leaving (draining), as signaled by the upstream itself, the host list, the
+ * manifest or a notice of another node.
+ */
 final class LeavingUpstreams {
-  /** A signal holds this long; the host list and the manifest repeat theirs. */
+  /** Lifetime of a signal; the host list and the manifest repeat their signals. */
   static final long SIGNAL_LIFETIME_NANOS = 300_000_000_000L;
 
-  /** Times that a node that saw the first signal sends its notice, as one message may be lost. */
+  /** Notices that the node with the first signal sends, as one message may be lost. */
   private static final int MAX_NOTICES = 4;
 
   private static final long NOTICE_INTERVAL_NANOS = 1_000_000_000;
@@ -24,13 +27,13 @@
 
   private final Map<UpstreamId, LeavingSignal> signals = new HashMap<>();
 
-  /** Records a signal that another node saw. */
+  /** Records a signal that another node observed. */
   void recordRemoteSignal(UpstreamId upstream, long now) {
     LeavingSignal signal = signals.computeIfAbsent(upstream, u -> new LeavingSignal());
     signal.expiresNanos = now + SIGNAL_LIFETIME_NANOS;
   }
 
-  /** Records a signal that this node saw; it is then spread unless another node was first. */
+  /** Records a signal that this node observed; notices follow unless it was already recorded. */
   void recordLocalSignal(UpstreamId upstream, long now) {
     if (!contains(upstream, now)) {
       LeavingSignal signal = new LeavingSignal();
@@ -41,12 +44,13 @@
     recordRemoteSignal(upstream, now);
   }
 
+  /** Returns whether an upstream has an unexpired signal. */
   boolean contains(UpstreamId upstream, long now) {
     LeavingSignal signal = signals.isEmpty() ? null : signals.get(upstream);
     return signal != null && now < signal.expiresNanos;
   }
 
-  /** Returns the upstreams that the other nodes must be told about now. */
+  /** Returns the upstreams to notify the other nodes of now, and counts the notices as sent. */
   List<UpstreamId> takeDueNotices(long now) {
     List<UpstreamId> due = new ArrayList<>();
     signals.forEach(
@@ -60,12 +64,12 @@
     return due;
   }
 
-  /** Returns all upstreams with a signal, for a node that joined. */
+  /** Returns all upstreams with an unexpired signal, to be sent to a node that joined. */
   List<UpstreamId> listActive(long now) {
     return signals.keySet().stream().filter(u -> contains(u, now)).toList();
   }
 
-  /** Drops signs that have ended and upstreams that the manifest no longer has. */
+  /** Drops expired signals and upstreams that are no longer in the manifest. */
   void removeExpired(Topology topology, long now) {
     signals
         .entrySet()
--- a/core/src/main/java/org/mustardlatch/core/routing/LoadReport.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/LoadReport.java
@@ -1,12 +1,12 @@
 package org.mustardlatch.core.routing;
 
 /**
- * The load that an engine reports about itself. Lags behind the truth.
+ * The load that an engine reports. It lags behind the actual load.
  *
- * @param runningRequests requests that hold a slot
+ * @param runningRequests requests that occupy a slot
  * @param queuedRequests requests that wait in the engine
  * @param freeMemoryPieces free KV memory in pieces of 1,000 tokens
- * @param leaving whether the engine says that it is leaving
+ * @param leaving whether the engine reports that it is leaving
  */
 public record LoadReport(
     int runningRequests, int queuedRequests, int freeMemoryPieces, boolean leaving) {}
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeSettings.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeSettings.java
@@ -9,13 +9,14 @@
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** The parts of the manifest in force that decisions look up by key; changes with the manifest. */
+/** The routing settings derived from the active manifest, with defaults before the first one. */
 final class NodeSettings {
   private PolicyParameters policyParameters = PolicyParameters.of(Objective.WASTE_AVERSE);
   private Limits limits = new Limits(0.1, 0.02);
   private Map<WorkspaceId, Double> workspaceWeights = Map.of();
   private @Nullable Manifest manifest;
 
+  /** Replaces the settings by those of a newly active manifest. */
   void apply(Manifest next) {
     manifest = next;
     policyParameters = PolicyParameters.of(next.objective());
@@ -27,6 +28,7 @@
     workspaceWeights = Map.copyOf(w);
   }
 
+  /** Returns the active manifest, or null before the first one. */
   @Nullable Manifest manifest() {
     return manifest;
   }
@@ -39,7 +41,7 @@
     return limits;
   }
 
-  /** Returns the share of a workspace in fair queueing; 1 for one that the manifest omits. */
+  /** Returns the fair-queueing weight of a workspace; 1 if the manifest does not list it. */
   double workspaceWeight(WorkspaceId workspace) {
     return workspaceWeights.getOrDefault(workspace, 1.0);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
@@ -7,15 +7,18 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Cancels attempts that engines hold for node incarnations that are gone. */
+/**
+ * Cancels orphaned attempts: those in progress on an engine for a node incarnation that is dead or
+ * removed, and those of this node that it no longer tracks.
+ */
 final class OrphanedAttemptSweeper {
-  /** Cancels per engine and pass; bounds the load on an engine after a node died. */
+  /** Maximum cancels per engine and pass; bounds the load on an engine after a node dies. */
   static final int MAX_CANCELS_PER_PASS = 32;
 
-  // A node that joined may hold attempts before membership has told this one about it.
+  // Attempts of a node that has just joined may be listed before membership reports the node here.
   private static final long UNKNOWN_OWNER_GRACE_NANOS = 10_000_000_000L;
 
-  // Far more nodes than are replaced before engines have dropped what they held for them.
+  // Far more nodes than are replaced before engines have dropped the attempts of the old ones.
   private static final int MAX_DEAD_NODES = 1000;
 
   private record Owner(HostId host, long incarnation) {}
@@ -23,16 +26,17 @@
   private final Effects commands;
   private final Map<Owner, Long> unknownSinceNanos = new HashMap<>();
 
-  /** Nodes that left the live set, with the last incarnation that was known of them. */
+  /** Nodes that left the live set, with their last observed incarnation. */
   private final LinkedHashMap<HostId, Long> deadNodeIncarnations = new LinkedHashMap<>();
 
   private Topology topology;
 
-  OrphanedAttemptSweeper(Effects fx, Topology topology) {
-    this.commands = fx;
+  OrphanedAttemptSweeper(Effects commands, Topology topology) {
+    this.commands = commands;
     this.topology = topology;
   }
 
+  /** Records the nodes that are no longer live. */
   void topologyChanged(Topology next) {
     for (Member m : topology.members()) {
       if (next.member(m.host()) == null) {
@@ -46,36 +50,46 @@
     topology = next;
   }
 
-  /** Emits the cancels for one engine's list. */
+  /**
+   * Cancels the orphaned attempts in the list of one engine.
+   *
+   * @param coordinator tracks the attempts of this node
+   * @param incarnation the incarnation of this node
+   */
   void cancelOrphans(
-      UpstreamId upstream, List<ReportedAttempt> held, EntrySide own, long incarnation) {
+      UpstreamId upstream,
+      List<ReportedAttempt> attempts,
+      EntrySide coordinator,
+      long incarnation) {
     int cancels = 0;
-    for (ReportedAttempt h : held) {
-      if (cancels < MAX_CANCELS_PER_PASS && isOrphaned(h, own, incarnation)) {
-        commands.emit(new RoutingCommand.CancelHeld(h, upstream));
+    for (ReportedAttempt attempt : attempts) {
+      if (cancels < MAX_CANCELS_PER_PASS && isOrphaned(attempt, coordinator, incarnation)) {
+        commands.emit(new RoutingCommand.CancelHeld(attempt, upstream));
         cancels++;
       }
     }
   }
 
-  private boolean isOrphaned(ReportedAttempt h, EntrySide own, long incarnation) {
-    if (h.owner().equals(commands.self())) {
-      return h.incarnation() < incarnation || !own.holds(h.attempt());
+  private boolean isOrphaned(ReportedAttempt attempt, EntrySide coordinator, long incarnation) {
+    if (attempt.owner().equals(commands.self())) {
+      return attempt.incarnation() < incarnation || !coordinator.holds(attempt.attempt());
     }
-    Member m = topology.member(h.owner());
+    Member m = topology.member(attempt.owner());
     if (m != null) {
-      return h.incarnation() < m.incarnation();
+      return attempt.incarnation() < m.incarnation();
     }
-    if (h.incarnation() <= deadNodeIncarnations.getOrDefault(h.owner(), Long.MIN_VALUE)) {
+    if (attempt.incarnation()
+        <= deadNodeIncarnations.getOrDefault(attempt.owner(), Long.MIN_VALUE)) {
       return true;
     }
-    Owner owner = new Owner(h.owner(), h.incarnation());
+    Owner owner = new Owner(attempt.owner(), attempt.incarnation());
     long since = unknownSinceNanos.computeIfAbsent(owner, o -> commands.now());
     return commands.now() - since >= UNKNOWN_OWNER_GRACE_NANOS;
   }
 
+  /** Drops owners that have not been listed for a while. */
   void tick() {
-    // Twice the waiting time, so that an owner whose attempts are still listed stays known.
+    // Twice the grace period, so that an owner whose attempts are still listed keeps its entry.
     unknownSinceNanos.values().removeIf(t -> commands.now() - t >= 2 * UNKNOWN_OWNER_GRACE_NANOS);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/PauseDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PauseDetector.java
@@ -1,28 +1,28 @@
 package org.mustardlatch.core.routing;
 
-/** Finds out that this node was paused, from the time between the events that it handles. */
+/** Detects that this node was paused from the time between the events that it handles. */
 final class PauseDetector {
-  /** What happened since the event before. */
+  /** The state of the node since the previous event. */
   enum PauseState {
-    /** The node ran. */
+    /** The node ran without a pause. */
     RUNNING,
-    /** Messages that wait to be handled are old, but the node still counts as alive. */
+    /** Pending messages may be outdated, but the other nodes still consider this node alive. */
     SHORT_PAUSE,
-    /** Others may have declared the node dead. */
+    /** Other nodes may have declared this node dead. */
     LONG_PAUSE
   }
 
   // The node's own timer fires every 100 ms. Grants older than this may name upstreams that have
-  // become unusable, which news behind them in the input tells.
+  // become unusable, as messages behind them in the input report.
   private static final long SHORT_PAUSE_NANOS = 2_000_000_000;
 
-  // Membership declares a node dead 8 s after its last sign of life at the earliest (3 s of missed
-  // heartbeats, 5 s to refute). The guard acts before that.
+  // Membership declares a node dead 8 s after its last heartbeat at the earliest (3 s of missed
+  // heartbeats, 5 s to refute the suspicion). The node must act on a pause before that.
   private static final long LONG_PAUSE_NANOS = 6_000_000_000L;
 
   private long lastEventNanos = Long.MIN_VALUE;
 
-  /** Returns what happened since the last call. */
+  /** Records an event and classifies the time since the previous one. */
   PauseState recordEvent(long now) {
     long gap = lastEventNanos == Long.MIN_VALUE ? 0 : now - lastEventNanos;
     lastEventNanos = now;
--- a/core/src/main/java/org/mustardlatch/core/routing/Placer.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Placer.java
@@ -7,20 +7,27 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.manifest.UpstreamRole;
 
-/** Chooses the engines of a reservation by predicted first token. */
+/**
+ * Chooses the prefill and decode engines of a reservation by predicted time to first token, and
+ * predicts the capacity of a cell. An engine that is much slower than the median of its pool is
+ * given only probe requests, or requests that still meet their targets there.
+ */
 final class Placer {
   // The next prefill is sent to an engine this long before the current one ends, which covers the
-  // way of the news and of the grant. More would bind requests to an engine that may slow down.
+  // latency of the end report and of the grant. A longer time would commit requests to an engine
+  // that may slow down.
   static final long LOOKAHEAD_NANOS = 30_000_000;
+  // Multiple of the median slowdown above which an engine is slow.
   private static final double SLOW_ENGINE_RATIO = 3;
+  // Multiple of the median slowdown up to which an engine has normal speed.
   private static final double MAX_NORMAL_RATIO = 1.5;
   private static final double PROBE_BUDGET_SHARE = 0.2;
   // Links between availability zones carry a KV cache at about half the rate of those within one.
   private static final long CROSS_ZONE_PENALTY_NANOS = 10_000_000;
-  // A single slow transfer must not make an engine look useless for all requests.
+  // A single slow transfer must not exclude an engine for all requests.
   private static final double MAX_TRANSFER_SLOWDOWN = 3;
-  // Share of the time left that the first token may take on an engine that looks slow; the rest is
-  // for an estimate that is too low.
+  // Share of the remaining time that the first token may take on a slow engine; the rest covers an
+  // estimate that is too low.
   private static final double SLOW_ENGINE_BUDGET_SHARE = 0.6;
   private static final long MAX_MEDIAN_AGE_NANOS = 50_000_000;
 
@@ -37,8 +44,9 @@
   /**
    * A choice of engines.
    *
-   * @param prefillEngine null when the KV cache exists already
-   * @param nominalPrefillNanos duration of the prefill at the rate of the manifest
+   * @param prefillEngine null if the KV cache already exists
+   * @param nominalPrefillNanos duration of the prefill at the rate in the manifest
+   * @param prefillEndNanos predicted time from now to the end of the prefill
    * @param firstTokenNanos predicted time from now to the first token
    */
   record Placement(
@@ -48,10 +56,10 @@
       long prefillEndNanos,
       long firstTokenNanos) {}
 
-  Placer(Cell cell, Iterable<EngineState> engines, LeavingUpstreams leaving) {
+  Placer(Cell cell, Iterable<EngineState> engines, LeavingUpstreams leavingUpstreams) {
     this.cell = cell;
     this.pieceTokens = cell.model().memoryPieceTokens();
-    this.leavingUpstreams = leaving;
+    this.leavingUpstreams = leavingUpstreams;
     for (EngineState e : engines) {
       if (e.upstream.role().prefills()) {
         prefillEngines.add(e);
@@ -70,7 +78,10 @@
     return decodeEngines;
   }
 
-  /** Returns whether some prefill engine and some decode engine have room, cheaply. */
+  /**
+   * Returns whether some prefill engine and some decode engine may have free capacity. This is a
+   * cheap check of slots only.
+   */
   boolean mayHaveCapacity(long now) {
     for (EngineState d : decodeEngines) {
       if (d.freeSlots() > 0 && d.isUsable(leavingUpstreams, now)) {
@@ -90,33 +101,43 @@
     return false;
   }
 
-  /** Returns the best choice that has room now, or null. */
+  /**
+   * Returns the best placement with free capacity now, or null.
+   *
+   * @param suspect whether the request is suspected of crashing engines; an engine runs at most one
+   *     such request
+   * @param handover whether reservations of the previous admitting node may still be missing
+   */
   @Nullable Placement place(
       ReservationRequest request,
       boolean suspect,
-      KvTransferLimiter link,
+      KvTransferLimiter transferLimiter,
       boolean handover,
       long now) {
     refreshMedians(now);
     if (request.kvSource() != null) {
-      EngineState d = selectDecodeEngine(request, null, 0, suspect, link, handover, now);
-      return d == null ? null : new Placement(null, d, 0, 0, transferNanosTo(request, d, link));
+      EngineState d = selectDecodeEngine(request, null, 0, suspect, transferLimiter, handover, now);
+      return d == null
+          ? null
+          : new Placement(null, d, 0, 0, transferNanosTo(request, d, transferLimiter));
     }
-    Placement split = placeSplit(request, suspect, link, handover, now);
-    return split != null ? split : placeOnDecodeEngine(request, suspect, link, handover, now);
+    Placement split = placeSplit(request, suspect, transferLimiter, handover, now);
+    return split != null
+        ? split
+        : placeOnDecodeEngine(request, suspect, transferLimiter, handover, now);
   }
 
   /**
-   * Returns a decode engine that processes the prompt itself, or null. Every other stream of that
-   * engine pauses meanwhile, so it is chosen only where no prefill engine can be used.
+   * Returns a decode engine that also runs the prefill, or null. All other streams of that engine
+   * pause during the prefill, so it is chosen only if no prefill engine is usable.
    */
   private @Nullable Placement placeOnDecodeEngine(
       ReservationRequest request,
       boolean suspect,
-      KvTransferLimiter link,
+      KvTransferLimiter transferLimiter,
       boolean handover,
       long now) {
-    EngineState d = selectDecodeEngine(request, null, 0, suspect, link, handover, now);
+    EngineState d = selectDecodeEngine(request, null, 0, suspect, transferLimiter, handover, now);
     if (d == null
         || d.upstream.role() != UpstreamRole.DECODE_WITH_PROMPT
         || prefillEngines.stream().anyMatch(e -> e.isUsableSoon(leavingUpstreams, now))) {
@@ -127,16 +148,17 @@
     return new Placement(d, d, nominal, finish, finish);
   }
 
+  /** Returns the prefill engine with the earliest predicted end and a decode engine, or null. */
   private @Nullable Placement placeSplit(
       ReservationRequest request,
       boolean suspect,
-      KvTransferLimiter link,
+      KvTransferLimiter transferLimiter,
       boolean handover,
       long now) {
     EngineState best = null;
     double bestFinish = Double.MAX_VALUE;
     long bestNominal = 0;
-    double waiting = -1;
+    double endAfterWaiting = -1;
     for (EngineState e : prefillEngines) {
       if (!canTakePrefill(e, request, suspect, now)) {
         continue;
@@ -144,11 +166,12 @@
       long nominal = e.nominalPrefillNanos(request.promptTokens(), request.prefixBlocks());
       double ratio = e.currentPrefillSlowdown(now);
       double finish = e.prefillBacklogNanos(now) + nominal * ratio;
-      if (isSlow(ratio, medianPrefillSlowdown) && isProbe(e, request, ratio, nominal, now)) {
+      if (isSlow(ratio, medianPrefillSlowdown) && shouldProbe(e, request, ratio, nominal, now)) {
         finish = 0;
       } else if (ratio > MAX_NORMAL_RATIO * medianPrefillSlowdown) {
-        waiting = waiting < 0 ? prefillEndAfterWaiting(request, now) : waiting;
-        if (finish > waiting) {
+        endAfterWaiting =
+            endAfterWaiting < 0 ? prefillEndAfterWaiting(request, now) : endAfterWaiting;
+        if (finish > endAfterWaiting) {
           continue;
         }
       }
@@ -163,15 +186,16 @@
     }
     long finish =
         best.prefillBacklogNanos(now) + (long) (bestNominal * best.currentPrefillSlowdown(now));
-    EngineState d = selectDecodeEngine(request, best, finish, suspect, link, handover, now);
+    EngineState d =
+        selectDecodeEngine(request, best, finish, suspect, transferLimiter, handover, now);
     if (d == null) {
       return null;
     }
-    long first = finish + (d == best ? 0 : transferNanosTo(request, d, link));
+    long first = finish + (d == best ? 0 : transferNanosTo(request, d, transferLimiter));
     return new Placement(best, d, bestNominal, finish, first);
   }
 
-  /** Returns whether an engine failed this request, unless every usable one of its pool did. */
+  /** Returns whether an engine failed this request and another usable one of its pool did not. */
   private boolean isExcluded(
       EngineState e, ReservationRequest request, List<EngineState> pool, long now) {
     if (!request.excludedUpstreams().contains(e.upstream.id())) {
@@ -199,7 +223,7 @@
     return e.prefillBacklogNanos(now) <= LOOKAHEAD_NANOS;
   }
 
-  /** Returns the predicted end of the prefill if it waits for an engine of normal speed. */
+  /** Returns the predicted time to the end of the prefill if it waits for a normal-speed engine. */
   private double prefillEndAfterWaiting(ReservationRequest request, long now) {
     double best = Double.MAX_VALUE;
     for (EngineState e : prefillEngines) {
@@ -213,9 +237,10 @@
   }
 
   /**
-   * Returns whether a request is to probe this straggler and meets its deadline there with ease.
+   * Returns whether a request should probe this slow engine: a probe is allowed now, and the
+   * prefill takes at most a fifth of the time to the deadline.
    */
-  private static boolean isProbe(
+  private static boolean shouldProbe(
       EngineState e, ReservationRequest request, double ratio, long nominal, long now) {
     return e.pendingPrefills.isEmpty()
         && nominal * ratio <= PROBE_BUDGET_SHARE * request.budgetNanos()
@@ -223,9 +248,9 @@
   }
 
   /**
-   * Returns the best decode engine that has room, or null. An engine that looks slow takes part as
-   * a probe, or when no other has room and the first token is in time there nevertheless: slow
-   * transfers are often seen because the engine was busy with a prompt for a moment.
+   * Returns the best decode engine with free capacity, or null. A slow engine is considered for a
+   * probe, or if no other has free capacity and the request still meets its targets there:
+   * transfers often look slow because the engine was briefly busy with a prompt.
    *
    * @param readyNanos predicted time from now until the KV cache exists
    */
@@ -234,13 +259,13 @@
       @Nullable EngineState prefill,
       long readyNanos,
       boolean suspect,
-      KvTransferLimiter link,
+      KvTransferLimiter transferLimiter,
       boolean handover,
       long now) {
     EngineState best = null;
     double bestScore = Double.MAX_VALUE;
-    EngineState bestStraggler = null;
-    double bestStragglerScore = Double.MAX_VALUE;
+    EngineState bestSlow = null;
+    double bestSlowScore = Double.MAX_VALUE;
     for (EngineState e : decodeEngines) {
       if (!e.isUsable(leavingUpstreams, now) || isExcluded(e, request, decodeEngines, now)) {
         continue;
@@ -251,50 +276,54 @@
           || (suspect && e.suspectCount > 0)) {
         continue;
       }
-      double slowness = relativeDecodeSlowdown(e);
-      boolean straggler = slowness > SLOW_ENGINE_RATIO;
-      if (straggler && (e.reservedSlots > 0 || !e.probeLimiter.mayProbe(now))) {
-        double score = score(e, request, prefill, link, slowness);
-        if (score < bestStragglerScore && meetsTargets(e, request, readyNanos, link, now)) {
-          bestStraggler = e;
-          bestStragglerScore = score;
+      double slowdown = relativeDecodeSlowdown(e);
+      boolean slow = slowdown > SLOW_ENGINE_RATIO;
+      if (slow && (e.reservedSlots > 0 || !e.probeLimiter.mayProbe(now))) {
+        double score = score(e, request, prefill, transferLimiter, slowdown);
+        if (score < bestSlowScore && meetsTargets(e, request, readyNanos, transferLimiter, now)) {
+          bestSlow = e;
+          bestSlowScore = score;
         }
         continue;
       }
-      double score = straggler ? 0 : score(e, request, prefill, link, slowness);
+      double score = slow ? 0 : score(e, request, prefill, transferLimiter, slowdown);
       if (score < bestScore) {
         best = e;
         bestScore = score;
       }
     }
-    return best == null ? bestStraggler : best;
+    return best == null ? bestSlow : best;
   }
 
-  /** Returns whether a decode engine, as slow as it was seen to be, meets the targets. */
+  /** Returns whether a slow decode engine meets the token gap and first-token targets. */
   private boolean meetsTargets(
       EngineState e,
       ReservationRequest request,
       long readyNanos,
-      KvTransferLimiter link,
+      KvTransferLimiter transferLimiter,
       long now) {
     long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
-    double first = readyNanos + link.predictedTransferNanos(bytes) * e.transferSlowdown.ratio();
+    double first =
+        readyNanos + transferLimiter.predictedTransferNanos(bytes) * e.transferSlowdown.ratio();
     long left = request.firstTokenDeadlineNanos() - now;
     return e.tokenSlowdown.ratio() <= 1 && first <= SLOW_ENGINE_BUDGET_SHARE * left;
   }
 
+  /** Returns the cost of a decode engine, nanoseconds; lower is better. */
   private double score(
       EngineState e,
       ReservationRequest request,
       @Nullable EngineState prefill,
-      KvTransferLimiter link,
-      double slowness) {
+      KvTransferLimiter transferLimiter,
+      double slowdown) {
     double occupancy =
         (e.reservedSlots + e.unreservedAttempts + 1.0) / Math.max(1, e.upstream.slots());
-    double share = slowness > MAX_NORMAL_RATIO ? slowness : 1;
+    double loadFactor = slowdown > MAX_NORMAL_RATIO ? slowdown : 1;
     double transfer =
-        e == prefill ? 0 : transferNanosTo(request, e, link) + crossZonePenaltyNanos(prefill, e);
-    return transfer + occupancy * share * cell.model().tokenGapTarget().toNanos();
+        e == prefill
+            ? 0
+            : transferNanosTo(request, e, transferLimiter) + crossZonePenaltyNanos(prefill, e);
+    return transfer + occupancy * loadFactor * cell.model().tokenGapTarget().toNanos();
   }
 
   private static long crossZonePenaltyNanos(@Nullable EngineState prefill, EngineState decode) {
@@ -302,18 +331,19 @@
     return sameZone ? 0 : CROSS_ZONE_PENALTY_NANOS;
   }
 
-  /** Returns how slow a decode engine is against the median of its pool, by its worse half. */
+  /** Returns the larger of token and transfer slowdown relative to the median of the pool. */
   private double relativeDecodeSlowdown(EngineState e) {
     return Math.max(
         e.tokenSlowdown.ratio() / medianTokenSlowdown,
         Math.min(4, e.transferSlowdown.ratio() / medianTransferSlowdown));
   }
 
+  /** Returns the predicted duration of the KV transfer to a decode engine. */
   private long transferNanosTo(
-      ReservationRequest request, EngineState decode, KvTransferLimiter link) {
+      ReservationRequest request, EngineState decode, KvTransferLimiter transferLimiter) {
     long bytes = cell.model().kvBytesPerToken() * request.promptTokens();
     return (long)
-        (link.predictedTransferNanos(bytes)
+        (transferLimiter.predictedTransferNanos(bytes)
             * Math.clamp(decode.transferSlowdown.ratio(), 1, MAX_TRANSFER_SLOWDOWN));
   }
 
@@ -321,7 +351,7 @@
     return ratio > SLOW_ENGINE_RATIO * median;
   }
 
-  /** Returns whether work on this engine is a probe of a straggler. */
+  /** Returns whether work on this engine counts as a probe because the engine is slow. */
   boolean isProbe(EngineState e, long now) {
     return isSlow(e.currentPrefillSlowdown(now), medianPrefillSlowdown)
         || relativeDecodeSlowdown(e) > SLOW_ENGINE_RATIO;
@@ -356,22 +386,22 @@
     return Math.max(0.05, values[(values.length - 1) / 2]);
   }
 
-  /** Returns the prompt tokens per nanosecond that the usable prefill engines do together. */
+  /** Returns the total rate of the usable prefill engines, prompt tokens per nanosecond. */
   double prefillTokensPerNano(long now) {
     double sum = 0;
-    double stragglers = 0;
+    double slowSum = 0;
     for (EngineState e : prefillEngines) {
       if (e.isUsableSoon(leavingUpstreams, now)) {
         double ratio = e.currentPrefillSlowdown(now);
         double rate = e.upstream.prefillTokensPerSecond() / 1e9 / ratio;
         if (isSlow(ratio, medianPrefillSlowdown)) {
-          stragglers += rate;
+          slowSum += rate;
         } else {
           sum += rate;
         }
       }
     }
-    if (sum + stragglers == 0) {
+    if (sum + slowSum == 0) {
       for (EngineState e : decodeEngines) {
         if (e.upstream.role() == UpstreamRole.DECODE_WITH_PROMPT
             && e.isUsableSoon(leavingUpstreams, now)) {
@@ -379,13 +409,14 @@
         }
       }
     }
-    // A pool of one engine is as slow as its engine; it is not a pool without engines.
-    return sum > 0 ? sum : stragglers;
+    // A pool of slow engines only, for instance of a single one, still has their capacity.
+    return sum > 0 ? sum : slowSum;
   }
 
   /**
-   * Lets the belief fade that engines without work are slow. Requests that were refused for it
-   * could never correct it. Stragglers of a pool are left out: probes tell when they recover.
+   * Decays the slowdown estimates of idle engines. If requests are refused because of an estimate,
+   * no new observation could correct it. Engines slower than normal are left out: probes show when
+   * they recover.
    */
   void decayIdleEstimates(long now) {
     refreshMedians(now);
@@ -397,7 +428,7 @@
     }
   }
 
-  /** Returns the time until some prefill engine takes another prefill, nanoseconds. */
+  /** Returns the time until some prefill engine can take another prefill, nanoseconds. */
   long nanosUntilNextPrefill(long now) {
     long best = Long.MAX_VALUE;
     for (EngineState e : prefillEngines) {
@@ -417,7 +448,7 @@
     return best;
   }
 
-  /** Returns the requests of {@code pieces} of KV memory that decode engines have room for. */
+  /** Returns how many more requests of {@code pieces} of KV memory the decode engines can take. */
   int freeDecodeCapacity(int pieces, long now) {
     int sum = 0;
     for (EngineState e : decodeEngines) {
@@ -426,7 +457,7 @@
     return sum;
   }
 
-  /** Returns the requests of {@code pieces} of KV memory that empty decode engines hold. */
+  /** Returns how many requests of {@code pieces} of KV memory empty decode engines can take. */
   int totalDecodeCapacity(int pieces, long now) {
     int sum = 0;
     for (EngineState e : decodeEngines) {
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyParameters.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyParameters.java
@@ -3,16 +3,16 @@
 import org.mustardlatch.core.manifest.Objective;
 
 /**
- * Weights of the policy that the manifest's objective sets.
+ * Parameters of the routing policy, determined by the objective in the manifest.
  *
- * @param deadlineMarginShare share of the first-token budget kept free in predictions, 0 to 1
- * @param latePrefillGrace share of the first-token target by which a finished prefill may be late
- *     and still go on to decode
+ * @param deadlineMarginShare share of the first-token budget reserved for prediction errors, 0 to 1
+ * @param latePrefillGrace share of the first-token target by which a prefill may finish after its
+ *     deadline and still continue with decode
  * @param hedgingAllowed whether hedged attempts are allowed before the first token
- * @param latePrefillFactor multiple of its predicted duration at which a prefill counts as late
+ * @param latePrefillFactor multiple of the predicted duration after which a prefill counts as late
  * @param crossRegionWaitShare share of the first-token budget that the predicted wait in the local
- *     queue must exceed before another region is asked too
- * @param crossRegionCostFactor factor on the bytes that a crossing takes from the budget
+ *     queue must exceed before another region is requested as well
+ * @param crossRegionCostFactor factor on the bytes that cross-region routing takes from the budget
  */
 record PolicyParameters(
     double deadlineMarginShare,
@@ -21,6 +21,7 @@
     double latePrefillFactor,
     double crossRegionWaitShare,
     double crossRegionCostFactor) {
+  /** Returns the parameters for an objective. */
   static PolicyParameters of(Objective objective) {
     return switch (objective) {
       case WASTE_AVERSE -> new PolicyParameters(0.20, 0.5, false, 2.0, 0.20, 2.0);
--- a/core/src/main/java/org/mustardlatch/core/routing/PrefixIndex.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PrefixIndex.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The prompt blocks that an engine has probably cached, by what was sent to it. Engines publish
- * their cache events late and with gaps, so the index does not depend on them.
+ * The prompt blocks that an engine has probably cached, derived from the requests that were sent to
+ * it. Engines publish their cache events late and with gaps, so the index does not use them.
  */
 final class PrefixIndex {
-  /** Tokens of one block. */
+  /** Tokens per block. */
   static final int BLOCK_TOKENS = 256;
 
   private final int capacity;
@@ -18,13 +18,13 @@
   /**
    * Creates an empty index.
    *
-   * @param capacity blocks that are remembered; the least recently used ones are dropped
+   * @param capacity maximum number of blocks; the least recently used ones are dropped
    */
   PrefixIndex(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Returns the number of leading tokens of a prompt that the engine probably has. */
+  /** Returns the number of leading prompt tokens that the engine has probably cached. */
   int cachedTokens(List<Long> prefix, int promptTokens) {
     int hits = 0;
     for (Long block : prefix) {
@@ -37,6 +37,7 @@
     return Math.max(0, Math.min(hits * BLOCK_TOKENS, promptTokens - 1));
   }
 
+  /** Adds the blocks of a prompt that was sent to the engine. */
   void add(List<Long> prefix) {
     for (Long block : prefix) {
       blocks.put(block, Boolean.TRUE);
--- a/core/src/main/java/org/mustardlatch/core/routing/ProbeLimiter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ProbeLimiter.java
@@ -1,16 +1,17 @@
 package org.mustardlatch.core.routing;
 
-/** Spaces the requests that find out whether a straggler has recovered. */
+/** Limits the rate of probes, the requests that test whether a slow engine has recovered. */
 final class ProbeLimiter {
   private static final long FIRST_INTERVAL_NANOS = 2_000_000_000L;
-  // Every probe may cost a caller its deadline, so a lasting straggler is probed ever more seldom.
+  // A probe may cause a caller to miss its deadline, so an engine that stays slow is probed at
+  // increasing intervals.
   private static final long MAX_INTERVAL_NANOS = 16_000_000_000L;
 
   private long nextProbeNanos = Long.MIN_VALUE;
   private long intervalNanos = FIRST_INTERVAL_NANOS;
   private boolean engineSlow;
 
-  /** Returns whether a probe may be sent; the first time starts the interval. */
+  /** Returns whether a probe may be sent; the first call for a slow engine starts the interval. */
   boolean mayProbe(long now) {
     if (!engineSlow) {
       engineSlow = true;
@@ -20,11 +21,13 @@
     return now >= nextProbeNanos;
   }
 
+  /** Doubles the interval up to its maximum after a probe. */
   void probeSent(long now) {
     intervalNanos = Math.min(2 * intervalNanos, MAX_INTERVAL_NANOS);
     nextProbeNanos = now + intervalNanos;
   }
 
+  /** Resets the interval, as the engine is not slow any more. */
   void engineRecovered() {
     engineSlow = false;
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/RendezvousHash.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RendezvousHash.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Highest-random-weight hashing: all nodes with the same view choose the same name for a key. */
+/**
+ * Rendezvous (highest-random-weight) hashing: all nodes with the same set of candidates choose the
+ * same one for a key.
+ */
 final class RendezvousHash {
   private static final HashFunction HASH = Hashing.murmur3_128();
 
@@ -23,7 +26,7 @@
         .asLong();
   }
 
-  /** Returns the candidates by falling weight for the key; equal weights by name. */
+  /** Returns the candidates by descending weight for the key, and by name at equal weight. */
   static <T> List<T> order(String key, Iterable<T> candidates, Function<T, String> name) {
     record Weighed<T>(T value, String name, long weight) {}
     List<Weighed<T>> weighed = new ArrayList<>();
@@ -38,7 +41,7 @@
     return weighed.stream().map(Weighed::value).toList();
   }
 
-  /** Returns the number in 0 to {@code count - 1} that has the highest weight for the key. */
+  /** Returns the index from 0 to {@code count - 1} with the highest weight for the key. */
   static int chooseIndex(String key, int count) {
     int best = 0;
     long bestWeight = Long.MIN_VALUE;
--- a/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
@@ -7,7 +7,7 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 
-/** What one attempt holds in a cell. */
+/** The slots, KV memory and transfer permit reserved for one attempt in a cell. */
 final class Reservation {
   final AttemptId attempt;
   final HostId owner;
@@ -16,19 +16,19 @@
   final int decodePieces;
   final long kvBytes;
 
-  /** Predicted duration of the prefill on an engine as fast as the manifest says, nanoseconds. */
+  /** Predicted duration of the prefill at the rate in the manifest, nanoseconds. */
   long nominalPrefillNanos;
 
-  /** Engine whose prefill place or exported KV cache is held; null once it is free. */
+  /** Engine with the reserved prefill slot or exported KV cache; null once they are freed. */
   @Nullable EngineState prefillEngine;
 
-  /** Engine whose decode slot is held; null for a prefill whose decode part is not known. */
+  /** Engine with the reserved decode slot; null once it is freed. */
   @Nullable EngineState decodeEngine;
 
-  /** Engine that the KV cache comes from, as granted; null for a reservation taken over. */
+  /** Engine that provides the KV cache, as granted; null for an adopted reservation. */
   @Nullable UpstreamId kvSource;
 
-  /** Engine whose crash this attempt was already counted in. */
+  /** Engine whose crash report already included this attempt. */
   @Nullable EngineState countedCrashEngine;
 
   boolean transferReserved;
--- a/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
@@ -11,13 +11,14 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveDecode;
 
 /**
- * A request for a reservation as the admitting node sees it.
+ * A request of an entry node for a reservation, as received by the admitting node.
  *
- * @param requester the entry node
- * @param kvSource engine that already holds the KV cache; null when a prefill is needed
- * @param firstTokenDeadlineNanos monotonic time of this node
- * @param maxOutputTokens tokens of the answer to plan memory for
- * @param budgetNanos time from the arrival of the ask to the first-token deadline
+ * @param requester the entry node that sent it
+ * @param maxOutputTokens output tokens to plan KV memory for
+ * @param kvSource engine that already retains the KV cache; null if a prefill is needed
+ * @param firstTokenDeadlineNanos deadline of the first token, monotonic time of this node
+ * @param budgetNanos time from the arrival of this request to the first-token deadline
+ * @param excludedUpstreams engines that already failed the request
  */
 record ReservationRequest(
     AttemptId attempt,
@@ -62,12 +63,12 @@
         r.excluded());
   }
 
-  /** Returns the KV memory that the prompt takes, in pieces of a number of tokens. */
+  /** Returns the KV memory of the prompt, in pieces of {@code pieceTokens} tokens. */
   int prefillMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens, pieceTokens);
   }
 
-  /** Returns the KV memory to plan for prompt and answer, in pieces of a number of tokens. */
+  /** Returns the KV memory of prompt and output, in pieces of {@code pieceTokens} tokens. */
   int decodeMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens + maxOutputTokens, pieceTokens);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/SlowdownEstimate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/SlowdownEstimate.java
@@ -1,12 +1,12 @@
 package org.mustardlatch.core.routing;
 
 /**
- * How much slower than predicted an engine does one kind of work, as an exponentially weighted mean
- * of observed over predicted durations. 1 means as predicted.
+ * An estimate of how much slower than predicted an engine does one kind of work: the exponentially
+ * weighted mean of the ratio of observed to predicted duration. 1 means as predicted.
  */
 final class SlowdownEstimate {
-  // Half the weight on the newest observation: a noisy neighbour comes and goes within seconds, so
-  // two observations must be enough to follow it.
+  // Half the weight is on the newest observation: interference by a noisy neighbour starts and ends
+  // within seconds, so the estimate must adapt within two observations.
   private static final double NEWEST_WEIGHT = 0.5;
   private static final double MIN_RATIO = 0.1;
   private static final double MAX_RATIO = 20;
@@ -23,6 +23,7 @@
     return hasObservation;
   }
 
+  /** Records the duration of finished work. */
   void observe(long durationNanos, long predictedNanos) {
     double r =
         Math.clamp((double) durationNanos / Math.max(1, predictedNanos), MIN_RATIO, MAX_RATIO);
@@ -30,7 +31,7 @@
     hasObservation = true;
   }
 
-  /** Moves the ratio a small step towards 1; called while nothing is observed. */
+  /** Moves the ratio by 2 % towards 1; called while there are no observations. */
   void decay() {
     ratio += DECAY_RATE * (1 - ratio);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/Topology.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Topology.java
@@ -14,9 +14,9 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Cells and their admitting nodes, derived from one manifest and one set of live nodes. */
+/** The cells and their admitting nodes, derived from one manifest and one set of live nodes. */
 final class Topology {
-  /** Mean engines of a cell; one admitting node then decides for about 320 slots. */
+  /** Mean number of engines per cell; one admitting node then manages about 320 slots. */
   static final int ENGINES_PER_CELL = 16;
 
   private record Pool(ModelId model, RegionId region) {}
@@ -45,6 +45,7 @@
     }
   }
 
+  /** Divides the engines of a pool into cells by hash, so that each engine has a stable cell. */
   private void divideIntoCells(Pool pool, List<Upstream> engines) {
     int count = Math.ceilDiv(engines.size(), ENGINES_PER_CELL);
     List<List<Upstream>> parts = new ArrayList<>();
@@ -66,12 +67,12 @@
     pools.put(pool, List.copyOf(result));
   }
 
-  /** Returns the model, or null when the manifest does not have it. */
+  /** Returns the model, or null if the manifest does not contain it. */
   @Nullable Model model(ModelId id) {
     return models.get(id);
   }
 
-  /** Returns the cells of a model in a region; empty when it has no engine there. */
+  /** Returns the cells of a model in a region; empty if it has no engine there. */
   List<Cell> cells(ModelId model, RegionId region) {
     return pools.getOrDefault(new Pool(model, region), List.of());
   }
@@ -91,12 +92,12 @@
     return cells.get(name);
   }
 
-  /** Returns the cell of an engine, or null when it is not an engine of the manifest. */
+  /** Returns the cell of an engine, or null if the manifest has no such engine. */
   @Nullable Cell cellOfEngine(UpstreamId engine) {
     return cellByEngine.get(engine);
   }
 
-  /** Returns the live node, or null. */
+  /** Returns the node if it is live, or null. */
   @Nullable Member member(HostId host) {
     return members.get(host);
   }
@@ -116,7 +117,7 @@
     return (int) members.values().stream().filter(m -> m.region().equals(region)).count();
   }
 
-  /** Returns the live nodes of the cell's region, the admitting node first. */
+  /** Returns the live nodes of the cell's region in rank order; the first is the admitting node. */
   List<HostId> admittingNodes(Cell cell) {
     return admittingNodes.computeIfAbsent(
         cell.name(),
--- a/core/src/main/java/org/mustardlatch/core/routing/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/package-info.java
@@ -1,6 +1,10 @@
 /**
- * The routing decisions of one node for generation requests: events and the current time in,
- * commands out. No input or output, no threads, no wall clock.
+ * The routing decisions of one node for generation requests. The code maps events and the current
+ * time to commands; it performs no I/O, starts no threads and reads no wall clock.
+ *
+ * <p>A cell is the set of engines of one model in one region that share one admitting node, which
+ * admits work to them. The entry node holds the connection of the caller and requests reservations
+ * from the admitting node. An incarnation numbers the starts of a node.
  */
 @NullMarked
 package org.mustardlatch.core.routing;
--- a/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
@@ -13,7 +13,10 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.RequestId;
 
-/** Guards against decode engines that stand idle, and against room that is not there. */
+/**
+ * Tests the choice of decode engines and their predicted capacity. Guards against idle decode
+ * engines that are skipped for one slow transfer, and against capacity that does not exist.
+ */
 class PlacerTest {
   private static final long NOW = 100 * SECOND;
   private static final long KV_BYTES = 100_000L * 3_000;
