--- a/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
@@ -114,10 +114,12 @@
           c.release(r);
         }
       }
-      default -> throw new IllegalArgumentException("not for an admitting node: " + message);
+      default ->
+          throw new IllegalArgumentException("not a message to an admitting node: " + message);
     }
   }
 
+  /** Refuses a request for a cell that the manifest of this node does not have yet. */
   private void refuseUnknownCell(HostId from, Reserve r) {
     CellSummary noCapacity = new CellSummary(r.cell(), 0, Long.MAX_VALUE / 4);
     commands.send(
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -46,6 +46,7 @@
   // Every response carries a summary; in a burst it is not recomputed for each of them.
   private static final long MAX_SUMMARY_AGE_NANOS = 2_000_000;
 
+  // Requests at the head of the queue that are tried when the first one has no fitting engine.
   private static final int QUEUE_LOOKAHEAD = 4;
   private static final long CRASH_BLOCK_NANOS = 3_000_000_000L;
   // An engine that keeps failing is retried after 1 s, 2 s, 4 s and so on, up to 16 s.
@@ -62,7 +63,7 @@
   record Environment(
       Effects commands, RandomGenerator random, CrashEvidence evidence, NodeSettings settings) {}
 
-  /** Receives engine crashes that a cell detects. */
+  /** Receives the engine crashes that a cell detects. */
   interface CrashListener {
     /**
      * Reports a crash.
@@ -134,7 +135,7 @@
     CellSummary current = summary;
     if (current == null || now - summaryComputedNanos >= MAX_SUMMARY_AGE_NANOS) {
       int free = Math.max(0, freeDecodeCapacity() - queue.size());
-      current = new CellSummary(cell.name(), free, predictedWaitNanos(null));
+      current = new CellSummary(cell.name(), free, estimateWaitNanos(null));
       summary = current;
       summaryComputedNanos = now;
     }
@@ -356,6 +357,7 @@
     }
   }
 
+  /** Grants a request if a placement with free capacity meets its deadline. */
   private GrantResult tryGrant(ReservationRequest request) {
     long now = commands.now();
     if (request.kvSource() == null && !transferLimiter.hasFreeCapacity()) {
@@ -463,6 +465,7 @@
     }
   }
 
+  /** Ends the transfer stage: frees the permit and the prefill engine. */
   private void endTransfer(Reservation r, boolean finished) {
     long now = commands.now();
     if (r.stage == Stage.PREFILL) {
@@ -485,6 +488,7 @@
     r.prefillEngine = null;
   }
 
+  /** Frees everything that is still reserved. */
   private void freeReservation(Reservation r, boolean finished) {
     if (r.stage != Stage.DECODE) {
       endTransfer(r, false);
@@ -499,6 +503,7 @@
     }
   }
 
+  /** Updates the token slowdown of the decode engine with the tokens since the last renewal. */
   private void recordTokenProgress(Reservation r, int tokens) {
     long now = commands.now();
     int count = tokens - r.tokensSoFar;
@@ -537,6 +542,7 @@
     }
   }
 
+  /** Blocks an engine that refused, failed or crashed. */
   private void recordOutcome(EngineState e, @Nullable Reservation r, Outcome outcome) {
     long now = commands.now();
     switch (outcome) {
@@ -579,7 +585,7 @@
 
   /** Queues a request, or refuses it if its predicted wait exceeds the deadline. */
   private void enqueue(ReservationRequest request) {
-    long wait = predictedWaitNanos(request);
+    long wait = estimateWaitNanos(request);
     if (commands.now() + wait + shortestServiceNanos(request) > latestFirstTokenNanos(request)) {
       refuseOverloaded(request);
       return;
@@ -623,7 +629,7 @@
    *
    * @param request null for a request behind all those in the queue
    */
-  private long predictedWaitNanos(@Nullable ReservationRequest request) {
+  private long estimateWaitNanos(@Nullable ReservationRequest request) {
     long now = commands.now();
     WorkspaceId workspace = request == null ? null : request.workspace();
     long tokens =
--- a/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
@@ -89,7 +89,8 @@
                 commands.now());
         commands.send(from, new RunPermission(r.fingerprint(), r.attempt(), verdict));
       }
-      default -> throw new IllegalArgumentException("not about crash evidence: " + message);
+      default ->
+          throw new IllegalArgumentException("not a message about crash evidence: " + message);
     }
   }
 
@@ -140,6 +141,7 @@
     return reporter(earlier.report().crashId()).equals(reporter(report.crashId()));
   }
 
+  /** Returns the host ID at the start of a crash ID. */
   private static String reporter(String crashId) {
     int slash = crashId.indexOf('/');
     return slash < 0 ? crashId : crashId.substring(0, slash);
--- a/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
@@ -15,6 +15,7 @@
   private static final long PREFILL_JITTER_NANOS = 50_000_000;
   // A prefill past its predicted end is expected to take this share of its age in addition.
   private static final double OVERDUE_REMAINING_SHARE = 0.3;
+  // Longest remaining block after which an engine still counts as usable soon.
   private static final long SHORT_BLOCK_NANOS = 300_000_000;
 
   private static final int MIN_PREFIX_BLOCKS = 64;
@@ -49,7 +50,7 @@
   /** Decode slots of reservations that this node granted, without adopted ones. */
   int locallyGrantedDecodeSlots;
 
-  /** Time before which no work is sent, after a crash, failure or refusal; monotonic. */
+  /** Monotonic time before which no work is sent, after a crash, failure or refusal. */
   long blockedUntilNanos = Long.MIN_VALUE;
 
   /** Failures since the engine last finished a prefill. */
--- a/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
@@ -16,13 +16,18 @@
  */
 final class FairQueue {
   private static final Comparator<QueuedRequest> BY_START_TAG =
-      Comparator.<QueuedRequest>comparingDouble(w -> w.startTag)
-          .thenComparingLong(w -> w.arrivalOrder);
+      Comparator.<QueuedRequest>comparingDouble(q -> q.startTag)
+          .thenComparingLong(q -> q.arrivalOrder);
 
   private final Map<AttemptId, QueuedRequest> byAttempt = new HashMap<>();
   private final TreeSet<QueuedRequest> byStartTag = new TreeSet<>(BY_START_TAG);
+
+  /** Finish tag of the newest request of each workspace: its start tag plus cost over weight. */
   private final Map<WorkspaceId, Double> lastFinishTag = new HashMap<>();
+
+  /** The largest start tag of a granted request. */
   private double virtualTime;
+
   private long arrivalCount;
   private long totalPromptTokens;
 
@@ -48,29 +53,29 @@
     WorkspaceId workspace = request.workspace();
     double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
     lastFinishTag.put(workspace, start + Math.max(1, request.promptTokens()) / weight);
-    QueuedRequest w = new QueuedRequest(request, start, arrivalCount++);
-    byAttempt.put(request.attempt(), w);
-    byStartTag.add(w);
+    QueuedRequest queued = new QueuedRequest(request, start, arrivalCount++);
+    byAttempt.put(request.attempt(), queued);
+    byStartTag.add(queued);
     totalPromptTokens += request.promptTokens();
   }
 
   /** Returns the next requests in service order, at most {@code count}. */
   List<ReservationRequest> nextRequests(int count) {
     List<ReservationRequest> result = new ArrayList<>(count);
-    for (QueuedRequest w : byStartTag) {
+    for (QueuedRequest queued : byStartTag) {
       if (result.size() == count) {
         break;
       }
-      result.add(w.request);
+      result.add(queued.request);
     }
     return result;
   }
 
   /** Removes a request that was granted and advances the virtual time to its start tag. */
   void removeServed(AttemptId attempt) {
-    QueuedRequest w = remove(attempt);
-    if (w != null) {
-      virtualTime = Math.max(virtualTime, w.startTag);
+    QueuedRequest queued = remove(attempt);
+    if (queued != null) {
+      virtualTime = Math.max(virtualTime, queued.startTag);
     }
     if (byStartTag.isEmpty()) {
       // An empty queue has no backlog to share, and inactive workspaces must not stay in the map.
@@ -81,12 +86,12 @@
 
   /** Removes and returns a request; returns null if it is not in the queue. */
   @Nullable QueuedRequest remove(AttemptId attempt) {
-    QueuedRequest w = byAttempt.remove(attempt);
-    if (w != null) {
-      byStartTag.remove(w);
-      totalPromptTokens -= w.request.promptTokens();
+    QueuedRequest queued = byAttempt.remove(attempt);
+    if (queued != null) {
+      byStartTag.remove(queued);
+      totalPromptTokens -= queued.request.promptTokens();
     }
-    return w;
+    return queued;
   }
 
   boolean contains(AttemptId attempt) {
@@ -101,11 +106,11 @@
   long promptTokensAhead(WorkspaceId workspace) {
     double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
     long sum = 0;
-    for (QueuedRequest w : byStartTag) {
-      if (w.startTag > start) {
+    for (QueuedRequest queued : byStartTag) {
+      if (queued.startTag > start) {
         break;
       }
-      sum += w.request.promptTokens();
+      sum += queued.request.promptTokens();
     }
     return sum;
   }
@@ -118,7 +123,7 @@
   /** Returns all requests in service order. */
   List<ReservationRequest> allRequests() {
     List<ReservationRequest> result = new ArrayList<>(byStartTag.size());
-    byStartTag.forEach(w -> result.add(w.request));
+    byStartTag.forEach(q -> result.add(q.request));
     return result;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/Placer.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Placer.java
@@ -21,6 +21,7 @@
   private static final double SLOW_ENGINE_RATIO = 3;
   // Multiple of the median slowdown up to which an engine has normal speed.
   private static final double MAX_NORMAL_RATIO = 1.5;
+  // Share of the time to the deadline that the prefill of a probe may take.
   private static final double PROBE_BUDGET_SHARE = 0.2;
   // Links between availability zones carry a KV cache at about half the rate of those within one.
   private static final long CROSS_ZONE_PENALTY_NANOS = 10_000_000;
@@ -351,7 +352,7 @@
     return ratio > SLOW_ENGINE_RATIO * median;
   }
 
-  /** Returns whether work on this engine counts as a probe because the engine is slow. */
+  /** Returns whether a request placed on this engine counts as a probe: the engine is slow. */
   boolean isProbe(EngineState e, long now) {
     return isSlow(e.currentPrefillSlowdown(now), medianPrefillSlowdown)
         || relativeDecodeSlowdown(e) > SLOW_ENGINE_RATIO;
--- a/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
@@ -10,10 +10,20 @@
 /** The slots, KV memory and transfer permit reserved for one attempt in a cell. */
 final class Reservation {
   final AttemptId attempt;
+
+  /** The entry node. */
   final HostId owner;
+
+  /** Fingerprint of the request; null for an adopted reservation. */
   final @Nullable Fingerprint fingerprint;
+
+  /** KV memory of the prefill, pieces. */
   final int prefillPieces;
+
+  /** KV memory of the decode, pieces. */
   final int decodePieces;
+
+  /** Size of the KV cache to transfer, bytes. */
   final long kvBytes;
 
   /** Predicted duration of the prefill at the rate in the manifest, nanoseconds. */
@@ -31,12 +41,24 @@
   /** Engine whose crash report already included this attempt. */
   @Nullable EngineState countedCrashEngine;
 
+  /** Whether a permit of the transfer limiter is acquired. */
   boolean transferReserved;
+
+  /** Whether the request is suspected of crashing engines. */
   boolean suspect;
+
   Stage stage = Stage.PREFILL;
+
+  /** Time at which the current stage started. */
   long stageStartNanos;
+
+  /** Time at which the reservation is dropped unless it is renewed. */
   long expiresNanos;
+
+  /** Output tokens at the last renewal in decode. */
   int tokensSoFar;
+
+  /** Time of the last renewal in decode. */
   long tokensUpdatedNanos;
 
   Reservation(
--- a/core/src/main/java/org/mustardlatch/core/routing/SlowdownEstimate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/SlowdownEstimate.java
@@ -23,7 +23,7 @@
     return hasObservation;
   }
 
-  /** Records the duration of finished work. */
+  /** Records the duration of ended work against its prediction. */
   void observe(long durationNanos, long predictedNanos) {
     double r =
         Math.clamp((double) durationNanos / Math.max(1, predictedNanos), MIN_RATIO, MAX_RATIO);
--- a/core/src/main/java/org/mustardlatch/core/routing/Topology.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Topology.java
@@ -27,6 +27,8 @@
   private final Map<UpstreamId, Cell> cellByEngine = new HashMap<>();
   private final List<RegionId> regions = new ArrayList<>();
   private final Map<HostId, Member> members = new HashMap<>();
+
+  /** Ranked nodes by cell name, computed on first use. */
   private final Map<String, List<HostId>> admittingNodes = new HashMap<>();
 
   Topology(@Nullable Manifest manifest, List<Member> live) {
@@ -48,20 +50,20 @@
   /** Divides the engines of a pool into cells by hash, so that each engine has a stable cell. */
   private void divideIntoCells(Pool pool, List<Upstream> engines) {
     int count = Math.ceilDiv(engines.size(), ENGINES_PER_CELL);
-    List<List<Upstream>> parts = new ArrayList<>();
+    List<List<Upstream>> enginesByCell = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      parts.add(new ArrayList<>());
+      enginesByCell.add(new ArrayList<>());
     }
     for (Upstream u : engines) {
-      parts.get(RendezvousHash.chooseIndex(u.id().value(), count)).add(u);
+      enginesByCell.get(RendezvousHash.chooseIndex(u.id().value(), count)).add(u);
     }
     Model model = Objects.requireNonNull(models.get(pool.model()));
     List<Cell> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String name = pool.model() + "/" + pool.region() + "/" + i;
-      Cell cell = new Cell(name, model, pool.region(), parts.get(i));
+      Cell cell = new Cell(name, model, pool.region(), enginesByCell.get(i));
       cells.put(name, cell);
-      parts.get(i).forEach(u -> cellByEngine.put(u.id(), cell));
+      enginesByCell.get(i).forEach(u -> cellByEngine.put(u.id(), cell));
       result.add(cell);
     }
     pools.put(pool, List.copyOf(result));
