--- /dev/null
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
@@ -0,0 +1,209 @@
+package org.mustardlatch.core.routing;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.jspecify.annotations.Nullable;
+import org.mustardlatch.core.error.ErrorCode;
+import org.mustardlatch.core.model.HostId;
+import org.mustardlatch.core.model.UpstreamId;
+import org.mustardlatch.core.peer.AdmissionMessage;
+import org.mustardlatch.core.peer.AdmissionMessage.CellSummary;
+import org.mustardlatch.core.peer.AdmissionMessage.ReservationRelease;
+import org.mustardlatch.core.peer.AdmissionMessage.ReservationRenew;
+import org.mustardlatch.core.peer.AdmissionMessage.Reserve;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveDecode;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveRefused;
+import org.mustardlatch.core.peer.AdmissionMessage.ReserveWithdraw;
+
+/**
+ * The cells that this node admits work to: routes admission messages and engine reports to the
+ * {@link CellAdmission} of the cell.
+ */
+final class AdmissionController {
+  // A node with another view of the membership may send requests for a cell that this node does not
+  // own. Such a cell is dropped after this idle time.
+  private static final long UNOWNED_CELL_IDLE_NANOS = 30_000_000_000L;
+  private static final long UNKNOWN_CELL_RETRY_NANOS = 500_000_000;
+
+  private final CommandCollector commands;
+  private final CellAdmission.Environment environment;
+  private final CellAdmission.CrashListener crashListener;
+  private final Map<String, CellAdmission> admissions = new HashMap<>();
+  private final LeavingUpstreams leavingUpstreams;
+  private Topology topology;
+
+  AdmissionController(
+      CellAdmission.Environment environment,
+      CellAdmission.CrashListener crashListener,
+      LeavingUpstreams leavingUpstreams,
+      Topology topology) {
+    this.commands = environment.commands();
+    this.environment = environment;
+    this.crashListener = crashListener;
+    this.leavingUpstreams = leavingUpstreams;
+    this.topology = topology;
+  }
+
+  /** Takes over the cells that this node now admits to and drops all others. */
+  void topologyChanged(Topology next) {
+    topology = next;
+    admissions.values().removeIf(c -> !shouldKeep(c));
+    for (Cell cell : next.cells()) {
+      if (admitsTo(cell)) {
+        getOrCreateAdmission(cell).cellChanged(cell);
+      }
+    }
+    for (CellAdmission c : admissions.values()) {
+      c.removeReservationsOfDeadNodes(h -> next.member(h) != null);
+    }
+  }
+
+  private boolean shouldKeep(CellAdmission admission) {
+    Cell cell = topology.cell(admission.cell().name());
+    return cell != null && admitsTo(cell);
+  }
+
+  private boolean admitsTo(Cell cell) {
+    List<HostId> owners = topology.admittingNodes(cell);
+    return !owners.isEmpty() && owners.getFirst().equals(commands.self());
+  }
+
+  private CellAdmission getOrCreateAdmission(Cell cell) {
+    CellAdmission c = admissions.get(cell.name());
+    if (c == null) {
+      c = new CellAdmission(cell, environment, crashListener, leavingUpstreams);
+      admissions.put(cell.name(), c);
+    }
+    return c;
+  }
+
+  /** Handles a message of an entry node to the admitting node of a cell. */
+  void handle(HostId from, AdmissionMessage message) {
+    switch (message) {
+      case Reserve r -> {
+        CellAdmission c = findOrCreateAdmission(r.cell());
+        if (c == null) {
+          refuseUnknownCell(from, r);
+        } else {
+          c.reserve(ReservationRequest.of(r, from, commands.now()));
+        }
+      }
+      case ReserveDecode r -> {
+        CellAdmission c = findOrCreateAdmission(r.cell());
+        if (c != null) {
+          c.reserve(ReservationRequest.of(r, from, commands.now()));
+        }
+      }
+      case ReserveWithdraw w -> {
+        CellAdmission c = admissions.get(w.cell());
+        if (c != null) {
+          c.withdraw(w.attempt());
+        }
+      }
+      case ReservationRenew r -> {
+        CellAdmission c = findOrCreateAdmission(r.cell());
+        if (c != null) {
+          c.renew(from, r);
+        }
+      }
+      case ReservationRelease r -> {
+        CellAdmission c = admissions.get(r.cell());
+        if (c != null) {
+          c.release(r);
+        }
+      }
+      default ->
+          throw new IllegalArgumentException("not a message to an admitting node: " + message);
+    }
+  }
+
+  /** Refuses a request for a cell that the manifest of this node does not have yet. */
+  private void refuseUnknownCell(HostId from, Reserve r) {
+    CellSummary noCapacity = new CellSummary(r.cell(), 0, Long.MAX_VALUE / 4);
+    commands.send(
+        from,
+        new ReserveRefused(
+            r.attempt(), ErrorCode.UPSTREAM_UNAVAILABLE, UNKNOWN_CELL_RETRY_NANOS, noCapacity));
+  }
+
+  /**
+   * Returns the admission of a cell, or null if the manifest has no such cell. Creates it also when
+   * this node is not the admitting node, since the sender may have another view of the membership.
+   */
+  private @Nullable CellAdmission findOrCreateAdmission(String name) {
+    CellAdmission existing = admissions.get(name);
+    if (existing != null) {
+      return existing;
+    }
+    Cell cell = topology.cell(name);
+    return cell == null ? null : getOrCreateAdmission(cell);
+  }
+
+  /** Passes on the load that an engine reports. */
+  void loadReported(UpstreamId upstream, LoadReport report) {
+    CellAdmission c = findAdmission(upstream);
+    if (c != null) {
+      c.loadReported(upstream, report);
+    }
+  }
+
+  /** Passes on the attempts that an engine reports as in progress. */
+  void attemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts) {
+    CellAdmission c = findAdmission(upstream);
+    if (c != null) {
+      c.attemptsListed(upstream, attempts);
+    }
+  }
+
+  /** Drops every reservation. After a long pause, other nodes have taken over the cells. */
+  void dropAllReservations() {
+    admissions.clear();
+    topologyChanged(topology);
+  }
+
+  private @Nullable CellAdmission findAdmission(UpstreamId upstream) {
+    Cell cell = topology.cellOfEngine(upstream);
+    return cell == null ? null : admissions.get(cell.name());
+  }
+
+  /** Expires reservations of one cell and serves its queue. */
+  void tick(String cell) {
+    CellAdmission c = admissions.get(cell);
+    if (c != null) {
+      c.tick();
+    }
+  }
+
+  /** Runs the periodic work of all cells and drops idle ones that this node does not own. */
+  void tickAll() {
+    admissions.values().forEach(CellAdmission::tick);
+    admissions
+        .entrySet()
+        .removeIf(
+            e ->
+                !admitsTo(e.getValue().cell())
+                    && e.getValue().isIdle()
+                    && commands.now() - e.getValue().lastActivityNanos() > UNOWNED_CELL_IDLE_NANOS);
+  }
+
+  int reservationCount() {
+    return admissions.values().stream().mapToInt(CellAdmission::reservationCount).sum();
+  }
+
+  int queuedCount() {
+    return admissions.values().stream().mapToInt(CellAdmission::queuedCount).sum();
+  }
+
+  /** Returns the engines of the cells that this node is the admitting node of. */
+  List<UpstreamId> ownedEngines() {
+    List<UpstreamId> result = new ArrayList<>();
+    for (CellAdmission c : admissions.values()) {
+      if (admitsTo(c.cell())) {
+        c.cell().engines().forEach(u -> result.add(u.id()));
+      }
+    }
+    return result;
+  }
+}
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
@@ -38,7 +38,7 @@
    */
   long firstTokenCutoffNanos(EntryRequest q, Attempt a) {
     long target = a.cell.model().firstTokenTarget().toNanos();
-    long gracePeriod = (long) (settings.tuning().lateGrace() * target);
+    long gracePeriod = (long) (settings.policyParameters().latePrefillGrace() * target);
     long predictedAtNanos = a.grantedNanos + a.predictedFirstTokenNanos();
     if (q.tokensSent > 0) {
       return Math.min(q.request.finalDeadlineNanos(), predictedAtNanos + MIN_STALL_TIMEOUT_NANOS);
@@ -49,7 +49,7 @@
   /** Returns the time after which a running prefill counts as late. */
   long latePrefillNanos(Attempt a) {
     return a.grantedNanos
-        + (long) (a.predictedFirstTokenNanos() * settings.tuning().lateFactor())
+        + (long) (a.predictedFirstTokenNanos() * settings.policyParameters().latePrefillFactor())
         + LATE_PREFILL_SLACK_NANOS;
   }
 
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
@@ -46,7 +46,7 @@
    * @return false if every admitting node of the cell has received a request
    */
   boolean contactNextNode(EntryRequest q, Attempt a) {
-    for (HostId host : topology.owners(a.cell)) {
+    for (HostId host : topology.admittingNodes(a.cell)) {
       if (!a.contactedNodes.contains(host)) {
         a.contactedNodes.add(host);
         sendReservationRequest(q, a, host);
@@ -246,7 +246,7 @@
    * renews the reservation, at that node.
    */
   void updateAdmittingNode(EntryRequest q, Attempt a) {
-    List<HostId> owners = topology.owners(a.cell);
+    List<HostId> owners = topology.admittingNodes(a.cell);
     if (owners.isEmpty()) {
       return;
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -37,7 +37,7 @@
   private final CommandCollector commands;
   private final NodeSettings settings;
   private final CrashEvidence evidence;
-  private final EvidenceSide evidenceCoordinator;
+  private final CrashEvidenceCoordinator evidenceCoordinator;
   private final CellChooser cellChooser;
   private final CrossRegionPolicy crossRegionPolicy;
   private final AttemptDriver driver;
@@ -50,13 +50,13 @@
 
   AttemptStarter(
       CellAdmission.Environment env,
-      EvidenceSide evidenceCoordinator,
+      CrashEvidenceCoordinator evidenceCoordinator,
       CellChooser cellChooser,
       CrossRegionPolicy crossRegionPolicy,
       AttemptDriver driver,
       RegionId region,
       RequestCallbacks callbacks) {
-    this.commands = env.effects();
+    this.commands = env.commands();
     this.settings = env.settings();
     this.evidence = env.evidence();
     this.evidenceCoordinator = evidenceCoordinator;
@@ -155,7 +155,7 @@
    */
   void requestRemoteHedge(EntryRequest q, Attempt a, long waitNanos) {
     long budget = q.request.firstTokenDeadlineNanos() - q.arrivedNanos;
-    boolean waitIsLong = waitNanos > settings.tuning().crossWaitShare() * budget;
+    boolean waitIsLong = waitNanos > settings.policyParameters().crossRegionWaitShare() * budget;
     boolean isLocal = a == q.current && a.cell.region().equals(region);
     if (!waitIsLong || !isLocal || q.remoteCellContacted || q.hedge != null || q.tokensSent > 0) {
       return;
@@ -187,7 +187,7 @@
   /** Requests the permission to run a suspect from an owner of its fingerprint. */
   void requestPermission(EntryRequest q) {
     q.awaitsPermission = true;
-    List<HostId> owners = evidenceCoordinator.owners(q.request.fingerprint());
+    List<HostId> owners = evidenceCoordinator.ownersOf(q.request.fingerprint());
     if (owners.isEmpty() || q.permissionRequests >= MAX_PERMISSION_REQUESTS) {
       // No owner responded. The admitting node still runs suspects apart from other requests.
       startPermitted(q);
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -66,7 +66,7 @@
     for (RegionId other : topology.regions()) {
       if (!other.equals(region)) {
         for (Cell c : withoutRefused(topology.cells(model, other), refused)) {
-          if (eligible.test(c) && mayHaveCapacity(c, now) && !topology.owners(c).isEmpty()) {
+          if (eligible.test(c) && mayHaveCapacity(c, now) && !topology.admittingNodes(c).isEmpty()) {
             cells.add(c);
           }
         }
@@ -96,7 +96,7 @@
     }
     Cell a = cells.get(random.nextInt(cells.size()));
     Cell b = cells.get(random.nextInt(cells.size()));
-    return loadScore(a) <= loadScore(b) && !topology.owners(a).isEmpty() ? a : b;
+    return loadScore(a) <= loadScore(b) && !topology.admittingNodes(a).isEmpty() ? a : b;
   }
 
   /** Returns a score that is lower for a cell with free slots and a short wait. */
--- a/core/src/main/java/org/mustardlatch/core/routing/CrossRegionPolicy.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrossRegionPolicy.java
@@ -40,7 +40,7 @@
       return null;
     }
     double bytes = q.request.promptBytes() + (double) OUTPUT_BYTES_PER_TOKEN * q.remainingTokens();
-    double cost = bytes * settings.tuning().crossingCost();
+    double cost = bytes * settings.policyParameters().crossRegionCostFactor();
     if (!budget.acquire(cost, commands.now())) {
       commands.explain(q.request.id(), "cross_region_budget", "no budget for " + bytes + " bytes");
       return null;
--- a/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
@@ -10,79 +10,88 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** Start-time fair queueing over workspaces by weight; cost is prefill work. */
+/**
+ * Start-time fair queueing (SFQ) of reservation requests: workspaces share the service by weight,
+ * and the cost of a request is its number of prompt tokens.
+ */
 final class FairQueue {
-  private static final Comparator<Waiting> BY_START =
-      Comparator.<Waiting>comparingDouble(w -> w.start).thenComparingLong(w -> w.order);
+  private static final Comparator<QueuedRequest> BY_START_TAG =
+      Comparator.<QueuedRequest>comparingDouble(q -> q.startTag)
+          .thenComparingLong(q -> q.arrivalOrder);
 
-  private final Map<AttemptId, Waiting> byAttempt = new HashMap<>();
-  private final TreeSet<Waiting> byStart = new TreeSet<>(BY_START);
-  private final Map<WorkspaceId, Double> lastFinish = new HashMap<>();
+  private final Map<AttemptId, QueuedRequest> byAttempt = new HashMap<>();
+  private final TreeSet<QueuedRequest> byStartTag = new TreeSet<>(BY_START_TAG);
+
+  /** Finish tag of the newest request of each workspace: its start tag plus cost over weight. */
+  private final Map<WorkspaceId, Double> lastFinishTag = new HashMap<>();
+
+  /** The largest start tag of a granted request. */
   private double virtualTime;
-  private long arrivals;
-  private long tokens;
+
+  private long arrivalCount;
+  private long totalPromptTokens;
 
   /** A request in the queue. */
-  static final class Waiting {
-    final Ask ask;
-    private final double start;
-    private final long order;
-
-    private Waiting(Ask ask, double start, long order) {
-      this.ask = ask;
-      this.start = start;
-      this.order = order;
+  static final class QueuedRequest {
+    final ReservationRequest request;
+    private final double startTag;
+    private final long arrivalOrder;
+
+    private QueuedRequest(ReservationRequest request, double start, long order) {
+      this.request = request;
+      this.startTag = start;
+      this.arrivalOrder = order;
     }
   }
 
   /**
    * Adds a request.
    *
-   * @param weight share of its workspace, greater than 0
+   * @param weight weight of the workspace of the request, greater than 0
    */
-  void add(Ask ask, double weight) {
-    WorkspaceId workspace = ask.workspace();
-    double start = Math.max(virtualTime, lastFinish.getOrDefault(workspace, 0.0));
-    lastFinish.put(workspace, start + Math.max(1, ask.promptTokens()) / weight);
-    Waiting w = new Waiting(ask, start, arrivals++);
-    byAttempt.put(ask.attempt(), w);
-    byStart.add(w);
-    tokens += ask.promptTokens();
+  void add(ReservationRequest request, double weight) {
+    WorkspaceId workspace = request.workspace();
+    double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
+    lastFinishTag.put(workspace, start + Math.max(1, request.promptTokens()) / weight);
+    QueuedRequest queued = new QueuedRequest(request, start, arrivalCount++);
+    byAttempt.put(request.attempt(), queued);
+    byStartTag.add(queued);
+    totalPromptTokens += request.promptTokens();
   }
 
-  /** Returns the requests that would be served next, at most {@code count}. */
-  List<Ask> first(int count) {
-    List<Ask> result = new ArrayList<>(count);
-    for (Waiting w : byStart) {
+  /** Returns the next requests in service order, at most {@code count}. */
+  List<ReservationRequest> nextRequests(int count) {
+    List<ReservationRequest> result = new ArrayList<>(count);
+    for (QueuedRequest queued : byStartTag) {
       if (result.size() == count) {
         break;
       }
-      result.add(w.ask);
+      result.add(queued.request);
     }
     return result;
   }
 
-  /** Removes a request that was granted; virtual time moves to its start. */
-  void served(AttemptId attempt) {
-    Waiting w = remove(attempt);
-    if (w != null) {
-      virtualTime = Math.max(virtualTime, w.start);
+  /** Removes a request that was granted and advances the virtual time to its start tag. */
+  void removeServed(AttemptId attempt) {
+    QueuedRequest queued = remove(attempt);
+    if (queued != null) {
+      virtualTime = Math.max(virtualTime, queued.startTag);
     }
-    if (byStart.isEmpty()) {
-      // An idle queue owes nothing to anyone, and forgotten workspaces must not stay in the map.
-      lastFinish.clear();
+    if (byStartTag.isEmpty()) {
+      // An empty queue has no backlog to share, and inactive workspaces must not stay in the map.
+      lastFinishTag.clear();
       virtualTime = 0;
     }
   }
 
-  /** Removes a request; returns null when it is not in the queue. */
-  @Nullable Waiting remove(AttemptId attempt) {
-    Waiting w = byAttempt.remove(attempt);
-    if (w != null) {
-      byStart.remove(w);
-      tokens -= w.ask.promptTokens();
+  /** Removes and returns a request; returns null if it is not in the queue. */
+  @Nullable QueuedRequest remove(AttemptId attempt) {
+    QueuedRequest queued = byAttempt.remove(attempt);
+    if (queued != null) {
+      byStartTag.remove(queued);
+      totalPromptTokens -= queued.request.promptTokens();
     }
-    return w;
+    return queued;
   }
 
   boolean contains(AttemptId attempt) {
@@ -90,31 +99,31 @@
   }
 
   int size() {
-    return byStart.size();
+    return byStartTag.size();
   }
 
-  /** Returns the prompt tokens that would be served before a new request of a workspace. */
-  long tokensBefore(WorkspaceId workspace) {
-    double start = Math.max(virtualTime, lastFinish.getOrDefault(workspace, 0.0));
+  /** Returns the prompt tokens to be served before a new request of a workspace. */
+  long promptTokensAhead(WorkspaceId workspace) {
+    double start = Math.max(virtualTime, lastFinishTag.getOrDefault(workspace, 0.0));
     long sum = 0;
-    for (Waiting w : byStart) {
-      if (w.start > start) {
+    for (QueuedRequest queued : byStartTag) {
+      if (queued.startTag > start) {
         break;
       }
-      sum += w.ask.promptTokens();
+      sum += queued.request.promptTokens();
     }
     return sum;
   }
 
   /** Returns the prompt tokens of all requests in the queue. */
-  long tokensWaiting() {
-    return tokens;
+  long queuedPromptTokens() {
+    return totalPromptTokens;
   }
 
-  /** Returns the requests in the order in which they would be served. */
-  List<Ask> all() {
-    List<Ask> result = new ArrayList<>(byStart.size());
-    byStart.forEach(w -> result.add(w.ask));
+  /** Returns all requests in service order. */
+  List<ReservationRequest> allRequests() {
+    List<ReservationRequest> result = new ArrayList<>(byStartTag.size());
+    byStartTag.forEach(q -> result.add(q.request));
     return result;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -34,12 +34,12 @@
   private final CommandCollector commands;
   private final NodeSettings settings = new NodeSettings();
   private final CrashEvidence evidence = new CrashEvidence();
-  private final PauseGuard pauseDetector = new PauseGuard();
+  private final PauseDetector pauseDetector = new PauseDetector();
   private final LeavingUpstreams leavingUpstreams = new LeavingUpstreams();
-  private final EvidenceSide evidenceCoordinator;
-  private final AdmittingSide admissionController;
+  private final CrashEvidenceCoordinator evidenceCoordinator;
+  private final AdmissionController admissionController;
   private final RequestCoordinator requestCoordinator;
-  private final HeldSweep orphanSweeper;
+  private final OrphanedAttemptSweeper orphanSweeper;
   private Topology topology = new Topology(null, List.of());
   private List<Member> members = List.of();
   private long incarnation;
@@ -60,13 +60,13 @@
     this.incarnation = incarnation;
     this.commands = new CommandCollector(self);
     var environment = new CellAdmission.Environment(commands, random, evidence, settings);
-    this.evidenceCoordinator = new EvidenceSide(commands, evidence, topology, incarnation);
+    this.evidenceCoordinator = new CrashEvidenceCoordinator(commands, evidence, topology, incarnation);
     this.admissionController =
-        new AdmittingSide(environment, evidenceCoordinator, leavingUpstreams, topology);
+        new AdmissionController(environment, evidenceCoordinator, leavingUpstreams, topology);
     this.requestCoordinator =
         new RequestCoordinator(
             environment, evidenceCoordinator, leavingUpstreams, region, topology);
-    this.orphanSweeper = new HeldSweep(commands, topology);
+    this.orphanSweeper = new OrphanedAttemptSweeper(commands, topology);
   }
 
   /**
@@ -100,7 +100,7 @@
       tickTimerSet = true;
       commands.setTimer(TICK_TIMER, commands.self().value(), nowNanos + TICK_INTERVAL_NANOS);
     }
-    switch (pauseDetector.since(nowNanos)) {
+    switch (pauseDetector.recordEvent(nowNanos)) {
       case RUNNING -> {}
       case SHORT_PAUSE -> requestCoordinator.restartAfterShortPause();
       case LONG_PAUSE -> startNewIncarnation();
@@ -132,8 +132,8 @@
       case RoutingEvent.DecodeFailed e -> requestCoordinator.decodeFailed(e.attempt(), e.failure());
       case RoutingEvent.LoadReported e -> loadReported(e);
       case RoutingEvent.HeldAttemptsListed e -> {
-        admissionController.heldListed(e.upstream(), e.attempts());
-        orphanSweeper.sweep(e.upstream(), e.attempts(), requestCoordinator, incarnation);
+        admissionController.attemptsListed(e.upstream(), e.attempts());
+        orphanSweeper.cancelOrphans(e.upstream(), e.attempts(), requestCoordinator, incarnation);
       }
       case RoutingEvent.PeerMessageReceived e -> peerMessageReceived(e.from(), e.message());
       case RoutingEvent.ManifestApplied e -> {
@@ -155,7 +155,7 @@
       case AdmissionMessage.CellSummary m -> requestCoordinator.recordSummary(m);
       case AdmissionMessage m -> admissionController.handle(from, m);
       case RunPermission m -> requestCoordinator.permissionReceived(m);
-      case LeavingNotice m -> leavingUpstreams.heard(m.upstream(), commands.now());
+      case LeavingNotice m -> leavingUpstreams.recordRemoteSignal(m.upstream(), commands.now());
       case EvidenceMessage m -> evidenceCoordinator.handle(from, m);
       default -> {
         // Other parts of the node handle the other messages.
@@ -171,12 +171,12 @@
   }
 
   private void upstreamLeaving(UpstreamId upstream) {
-    leavingUpstreams.seen(upstream, commands.now());
+    leavingUpstreams.recordLocalSignal(upstream, commands.now());
     broadcastLeavingNotices();
   }
 
   private void broadcastLeavingNotices() {
-    for (UpstreamId u : leavingUpstreams.dueNotices(commands.now())) {
+    for (UpstreamId u : leavingUpstreams.takeDueNotices(commands.now())) {
       evidenceCoordinator.broadcast(new LeavingNotice(u));
     }
   }
@@ -193,16 +193,16 @@
     for (Member m : next) {
       if (before.member(m.host()) == null && isIntroducerOf(m)) {
         leavingUpstreams
-            .all(commands.now())
+            .listActive(commands.now())
             .forEach(u -> commands.send(m.host(), new LeavingNotice(u)));
-        evidenceCoordinator.introduce(m.host());
+        evidenceCoordinator.sendRecentReports(m.host());
       }
     }
   }
 
   /** Returns whether this node is one of those that send earlier notices to a joining node. */
   private boolean isIntroducerOf(Member joining) {
-    List<HostId> order = topology.ownersOf(joining.host().value());
+    List<HostId> order = topology.rankedOwners(joining.host().value());
     return !joining.host().equals(commands.self())
         && order.subList(0, Math.min(INTRODUCER_COUNT + 1, order.size())).contains(commands.self());
   }
@@ -227,7 +227,7 @@
   private void tick() {
     commands.setTimer(TICK_TIMER, commands.self().value(), commands.now() + TICK_INTERVAL_NANOS);
     broadcastLeavingNotices();
-    leavingUpstreams.expire(topology, commands.now());
+    leavingUpstreams.removeExpired(topology, commands.now());
     admissionController.tickAll();
     evidenceCoordinator.tick();
     orphanSweeper.tick();
@@ -240,7 +240,7 @@
         new RoutingCommand.SetTimer(
             new TimerKey(TICK_TIMER, commands.self().value()),
             commands.now() + TICK_INTERVAL_NANOS));
-    admissionController.forgetAll();
+    admissionController.dropAllReservations();
     requestCoordinator.restartAfterLongPause();
     evidenceCoordinator.topologyChanged(topology, incarnation);
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -47,7 +47,7 @@
   private final CommandCollector commands;
   private final NodeSettings settings;
   private final CrashEvidence evidence;
-  private final EvidenceSide evidenceCoordinator;
+  private final CrashEvidenceCoordinator evidenceCoordinator;
   private final LeavingUpstreams leavingUpstreams;
   private final RegionId region;
   private final RetryAfterJitter retryAfterJitter;
@@ -65,11 +65,11 @@
 
   RequestCoordinator(
       CellAdmission.Environment env,
-      EvidenceSide evidenceCoordinator,
+      CrashEvidenceCoordinator evidenceCoordinator,
       LeavingUpstreams leavingUpstreams,
       RegionId region,
       Topology topology) {
-    this.commands = env.effects();
+    this.commands = env.commands();
     this.settings = env.settings();
     this.evidence = env.evidence();
     this.evidenceCoordinator = evidenceCoordinator;
@@ -107,7 +107,7 @@
     retryBudget.setCapacity(Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
-      crossRegionPolicy.configure(manifest.link(), next.membersIn(region));
+      crossRegionPolicy.configure(manifest.link(), next.memberCountIn(region));
     }
     for (EntryRequest q : requests.snapshot()) {
       for (Attempt a : q.liveAttempts()) {
@@ -348,7 +348,7 @@
     commands.explain(q.request.id(), "completed", detail);
     if (q.ranAsSuspect
         || evidence.suspicionLevel(q.request.fingerprint(), commands.now()) == SuspicionLevel.SUSPECT) {
-      evidenceCoordinator.cleared(q.request.fingerprint());
+      evidenceCoordinator.clearSuspect(q.request.fingerprint());
     }
     commands.emit(new RoutingCommand.Complete(q.request.id()));
     closeRequest(q, Outcome.FINISHED);
@@ -435,7 +435,7 @@
     q.suspectRunPermitted = false;
     boolean admitterAlive = a.admittingNode != null && topology.member(a.admittingNode) != null;
     if (upstream != null && !admitterAlive) {
-      evidenceCoordinator.crashed(upstream, List.of(q.request.fingerprint()));
+      evidenceCoordinator.engineCrashed(upstream, List.of(q.request.fingerprint()));
     }
   }
 
@@ -580,7 +580,7 @@
       driver.renewReservation(q, a, Stage.PREFILL);
       boolean inTime = now + a.predictedFirstTokenNanos() < q.request.firstTokenDeadlineNanos();
       if (a == q.current && q.hedge == null && q.tokensSent == 0 && inTime) {
-        if (settings.tuning().hedges()) {
+        if (settings.policyParameters().hedgingAllowed()) {
           hedgePrefill(q, a);
         } else {
           movePrefill(q, a);
@@ -619,7 +619,7 @@
   /** Cancels a late prefill that was moved, which wastes less than running both prefills. */
   private void cancelLatePrefill(EntryRequest q, Attempt granted) {
     Attempt late = q.current;
-    if (granted == q.hedge && late != null && !settings.tuning().hedges()) {
+    if (granted == q.hedge && late != null && !settings.policyParameters().hedgingAllowed()) {
       commands.explain(q.request.id(), "late_prefill_moved", "from " + late.prefillEngine);
       driver.cancel(late, Outcome.CANCELLED, false);
       q.current = granted;
--- a/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
@@ -7,37 +7,59 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 
-/** What one attempt holds in a cell. */
+/** The slots, KV memory and transfer permit reserved for one attempt in a cell. */
 final class Reservation {
   final AttemptId attempt;
+
+  /** The entry node. */
   final HostId owner;
+
+  /** Fingerprint of the request; null for an adopted reservation. */
   final @Nullable Fingerprint fingerprint;
+
+  /** KV memory of the prefill, pieces. */
   final int prefillPieces;
+
+  /** KV memory of the decode, pieces. */
   final int decodePieces;
+
+  /** Size of the KV cache to transfer, bytes. */
   final long kvBytes;
 
-  /** Predicted duration of the prefill on an engine as fast as the manifest says, nanoseconds. */
-  long nominalNanos;
+  /** Predicted duration of the prefill at the rate in the manifest, nanoseconds. */
+  long nominalPrefillNanos;
+
+  /** Engine with the reserved prefill slot or exported KV cache; null once they are freed. */
+  @Nullable EngineState prefillEngine;
 
-  /** Engine whose prefill place or exported KV cache is held; null once it is free. */
-  @Nullable EngineState prefill;
+  /** Engine with the reserved decode slot; null once it is freed. */
+  @Nullable EngineState decodeEngine;
 
-  /** Engine whose decode slot is held; null for a prefill whose decode part is not known. */
-  @Nullable EngineState decode;
+  /** Engine that provides the KV cache, as granted; null for an adopted reservation. */
+  @Nullable UpstreamId kvSource;
 
-  /** Engine that the KV cache comes from, as granted; null for a reservation taken over. */
-  @Nullable UpstreamId source;
+  /** Engine whose crash report already included this attempt. */
+  @Nullable EngineState countedCrashEngine;
 
-  /** Engine whose crash this attempt was already counted in. */
-  @Nullable EngineState inCrashOf;
+  /** Whether a permit of the transfer limiter is acquired. */
+  boolean transferReserved;
 
-  boolean linkHeld;
+  /** Whether the request is suspected of crashing engines. */
   boolean suspect;
+
   Stage stage = Stage.PREFILL;
-  long stageSinceNanos;
+
+  /** Time at which the current stage started. */
+  long stageStartNanos;
+
+  /** Time at which the reservation is dropped unless it is renewed. */
   long expiresNanos;
+
+  /** Output tokens at the last renewal in decode. */
   int tokensSoFar;
-  long tokensAtNanos;
+
+  /** Time of the last renewal in decode. */
+  long tokensUpdatedNanos;
 
   Reservation(
       AttemptId attempt,
--- a/core/src/main/java/org/mustardlatch/core/routing/Ask.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
@@ -11,29 +11,30 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveDecode;
 
 /**
- * A request for a reservation as the admitting node sees it.
+ * A request of an entry node for a reservation, as received by the admitting node.
  *
- * @param from the entry node
- * @param source engine that already holds the KV cache; null when a prefill is needed
- * @param firstTokenDeadlineNanos monotonic time of this node
- * @param maxOutputTokens tokens of the answer to plan memory for
- * @param budgetNanos time from the arrival of the ask to the first-token deadline
+ * @param requester the entry node that sent it
+ * @param maxOutputTokens output tokens to plan KV memory for
+ * @param kvSource engine that already retains the KV cache; null if a prefill is needed
+ * @param firstTokenDeadlineNanos deadline of the first token, monotonic time of this node
+ * @param budgetNanos time from the arrival of this request to the first-token deadline
+ * @param excludedUpstreams engines that already failed the request
  */
-record Ask(
+record ReservationRequest(
     AttemptId attempt,
-    HostId from,
+    HostId requester,
     WorkspaceId workspace,
     int promptTokens,
     int maxOutputTokens,
     List<Long> prefixBlocks,
     Fingerprint fingerprint,
-    @Nullable UpstreamId source,
+    @Nullable UpstreamId kvSource,
     long firstTokenDeadlineNanos,
     long budgetNanos,
-    List<UpstreamId> excluded) {
+    List<UpstreamId> excludedUpstreams) {
 
-  static Ask of(Reserve r, HostId from, long now) {
-    return new Ask(
+  static ReservationRequest of(Reserve r, HostId from, long now) {
+    return new ReservationRequest(
         r.attempt(),
         from,
         r.workspace(),
@@ -47,8 +48,8 @@
         r.excluded());
   }
 
-  static Ask of(ReserveDecode r, HostId from, long now) {
-    return new Ask(
+  static ReservationRequest of(ReserveDecode r, HostId from, long now) {
+    return new ReservationRequest(
         r.attempt(),
         from,
         r.workspace(),
@@ -62,13 +63,13 @@
         r.excluded());
   }
 
-  /** Returns the KV memory that the prompt takes, in pieces of a number of tokens. */
-  int prefillPieces(int pieceTokens) {
+  /** Returns the KV memory of the prompt, in pieces of {@code pieceTokens} tokens. */
+  int prefillMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens, pieceTokens);
   }
 
-  /** Returns the KV memory to plan for prompt and answer, in pieces of a number of tokens. */
-  int decodePieces(int pieceTokens) {
+  /** Returns the KV memory of prompt and output, in pieces of {@code pieceTokens} tokens. */
+  int decodeMemoryPieces(int pieceTokens) {
     return Math.ceilDiv(promptTokens + maxOutputTokens, pieceTokens);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
@@ -33,7 +33,7 @@
   record CancelAttempt(AttemptId attempt, UpstreamId upstream) implements RoutingCommand {}
 
   /** Cancel an attempt that an engine runs for a node incarnation that no longer exists. */
-  record CancelOrphanedAttempt(HeldAttempt attempt, UpstreamId upstream)
+  record CancelOrphanedAttempt(ReportedAttempt attempt, UpstreamId upstream)
       implements RoutingCommand {}
 
   /** Release a KV cache that a prefill engine retains. */
--- a/core/src/main/java/org/mustardlatch/core/routing/Topology.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Topology.java
@@ -14,9 +14,9 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Cells and their admitting nodes, derived from one manifest and one set of live nodes. */
+/** The cells and their admitting nodes, derived from one manifest and one set of live nodes. */
 final class Topology {
-  /** Mean engines of a cell; one admitting node then decides for about 320 slots. */
+  /** Mean number of engines per cell; one admitting node then manages about 320 slots. */
   static final int ENGINES_PER_CELL = 16;
 
   private record Pool(ModelId model, RegionId region) {}
@@ -24,10 +24,12 @@
   private final Map<ModelId, Model> models = new HashMap<>();
   private final Map<Pool, List<Cell>> pools = new HashMap<>();
   private final Map<String, Cell> cells = new HashMap<>();
-  private final Map<UpstreamId, Cell> cellOfEngine = new HashMap<>();
+  private final Map<UpstreamId, Cell> cellByEngine = new HashMap<>();
   private final List<RegionId> regions = new ArrayList<>();
   private final Map<HostId, Member> members = new HashMap<>();
-  private final Map<String, List<HostId>> owners = new HashMap<>();
+
+  /** Ranked nodes by cell name, computed on first use. */
+  private final Map<String, List<HostId>> admittingNodes = new HashMap<>();
 
   Topology(@Nullable Manifest manifest, List<Member> live) {
     live.forEach(m -> members.put(m.host(), m));
@@ -41,37 +43,38 @@
           engines.computeIfAbsent(new Pool(u.model(), region), p -> new ArrayList<>()).add(u);
         }
       }
-      engines.forEach(this::divide);
+      engines.forEach(this::divideIntoCells);
     }
   }
 
-  private void divide(Pool pool, List<Upstream> engines) {
+  /** Divides the engines of a pool into cells by hash, so that each engine has a stable cell. */
+  private void divideIntoCells(Pool pool, List<Upstream> engines) {
     int count = Math.ceilDiv(engines.size(), ENGINES_PER_CELL);
-    List<List<Upstream>> parts = new ArrayList<>();
+    List<List<Upstream>> enginesByCell = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      parts.add(new ArrayList<>());
+      enginesByCell.add(new ArrayList<>());
     }
     for (Upstream u : engines) {
-      parts.get(Rendezvous.choose(u.id().value(), count)).add(u);
+      enginesByCell.get(RendezvousHash.chooseIndex(u.id().value(), count)).add(u);
     }
     Model model = Objects.requireNonNull(models.get(pool.model()));
     List<Cell> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String name = pool.model() + "/" + pool.region() + "/" + i;
-      Cell cell = new Cell(name, model, pool.region(), parts.get(i));
+      Cell cell = new Cell(name, model, pool.region(), enginesByCell.get(i));
       cells.put(name, cell);
-      parts.get(i).forEach(u -> cellOfEngine.put(u.id(), cell));
+      enginesByCell.get(i).forEach(u -> cellByEngine.put(u.id(), cell));
       result.add(cell);
     }
     pools.put(pool, List.copyOf(result));
   }
 
-  /** Returns the model, or null when the manifest does not have it. */
+  /** Returns the model, or null if the manifest does not contain it. */
   @Nullable Model model(ModelId id) {
     return models.get(id);
   }
 
-  /** Returns the cells of a model in a region; empty when it has no engine there. */
+  /** Returns the cells of a model in a region; empty if it has no engine there. */
   List<Cell> cells(ModelId model, RegionId region) {
     return pools.getOrDefault(new Pool(model, region), List.of());
   }
@@ -91,12 +94,12 @@
     return cells.get(name);
   }
 
-  /** Returns the cell of an engine, or null when it is not an engine of the manifest. */
-  @Nullable Cell cellOf(UpstreamId engine) {
-    return cellOfEngine.get(engine);
+  /** Returns the cell of an engine, or null if the manifest has no such engine. */
+  @Nullable Cell cellOfEngine(UpstreamId engine) {
+    return cellByEngine.get(engine);
   }
 
-  /** Returns the live node, or null. */
+  /** Returns the node if it is live, or null. */
   @Nullable Member member(HostId host) {
     return members.get(host);
   }
@@ -112,13 +115,13 @@
   }
 
   /** Returns the number of live nodes in a region. */
-  int membersIn(RegionId region) {
+  int memberCountIn(RegionId region) {
     return (int) members.values().stream().filter(m -> m.region().equals(region)).count();
   }
 
-  /** Returns the live nodes of the cell's region, the admitting node first. */
-  List<HostId> owners(Cell cell) {
-    return owners.computeIfAbsent(
+  /** Returns the live nodes of the cell's region in rank order; the first is the admitting node. */
+  List<HostId> admittingNodes(Cell cell) {
+    return admittingNodes.computeIfAbsent(
         cell.name(),
         name -> {
           List<HostId> hosts =
@@ -126,12 +129,12 @@
                   .filter(m -> m.region().equals(cell.region()))
                   .map(Member::host)
                   .toList();
-          return Rendezvous.order(name, hosts, HostId::value);
+          return RendezvousHash.order(name, hosts, HostId::value);
         });
   }
 
   /** Returns the live nodes of all regions in the order in which they own a key. */
-  List<HostId> ownersOf(String key) {
-    return Rendezvous.order(key, members.keySet(), HostId::value);
+  List<HostId> rankedOwners(String key) {
+    return RendezvousHash.order(key, members.keySet(), HostId::value);
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
@@ -240,9 +240,9 @@
     for (Node n : nodes) {
       for (UpstreamId u : n.crashed ? List.<UpstreamId>of() : n.router.admittedEngines()) {
         Engine e = engineOf(u);
-        List<HeldAttempt> held = new ArrayList<>();
+        List<ReportedAttempt> held = new ArrayList<>();
         e.workByAttempt.forEach(
-            (a, w) -> held.add(new HeldAttempt(a.toString(), w.owner.host, w.incarnation)));
+            (a, w) -> held.add(new ReportedAttempt(a.toString(), w.owner.host, w.incarnation)));
         n.deliver(new RoutingEvent.HeldAttemptsListed(u, held));
         n.deliver(new RoutingEvent.LoadReported(u, new LoadReport(held.size(), 0, 100, false)));
       }
