--- a/daemon/src/main/java/org/mustardlatch/daemon/Main.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Main.java
@@ -17,7 +17,7 @@
 import org.mustardlatch.gateway.log.LogEvent;
 import org.mustardlatch.gateway.node.GatewayNode;
 import org.mustardlatch.gateway.node.NodeAdapter;
-import org.mustardlatch.gateway.node.NodePorts;
+import org.mustardlatch.gateway.node.PlatformComponents;
 import org.mustardlatch.gateway.node.Signals;
 
 /** Entry point of the daemon. Exit codes: 0 stopped gracefully, 1 failure, 2 usage or settings. */
@@ -69,7 +69,7 @@
       String text = Files.readString(file, StandardCharsets.UTF_8);
       for (NodeAdapter adapter : ServiceLoader.load(NodeAdapter.class)) {
         if (adapter.recognises(text)) {
-          return runOnPlatform(adapter.ports(file.toString(), text));
+          return runOnPlatform(adapter.createComponents(file.toString(), text));
         }
       }
       settings = read(file, text);
@@ -94,12 +94,12 @@
     return EXIT_OK;
   }
 
-  private static int runOnPlatform(NodePorts ports) {
+  private static int runOnPlatform(PlatformComponents ports) {
     long startNanos = System.nanoTime();
     GatewayNode node = new GatewayNode(ports);
-    Signals.on("TERM", node::drain);
-    Signals.on("INT", node::drain);
-    Signals.on("HUP", () -> EventLog.log(LogEvent.SETTINGS_CHANGED));
+    Signals.handle("TERM", node::drain);
+    Signals.handle("INT", node::drain);
+    Signals.handle("HUP", () -> EventLog.log(LogEvent.SETTINGS_CHANGED));
     try {
       node.start();
       node.awaitDrained();
--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -22,8 +22,8 @@
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallerExchange;
-import org.mustardlatch.gateway.http.CollectedAnswer;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -120,7 +120,7 @@
     private final List<Attempt> activeAttempts = new ArrayList<>();
     private int attemptCount;
     private int refusalCount;
-    private @Nullable UpstreamAnswer serverError;
+    private @Nullable BufferedResponse serverError;
     private @Nullable TimerSubscription deadlineTimer;
     private @Nullable TimerSubscription slowResponseTimer;
 
@@ -195,7 +195,7 @@
       if (!activeAttempts.isEmpty()) {
         return;
       }
-      UpstreamAnswer error = serverError;
+      BufferedResponse error = serverError;
       close();
       if (error != null) {
         exchange.sendResponse(error, "last_server_error");
@@ -205,7 +205,7 @@
     }
 
     private void onDeadline() {
-      UpstreamAnswer error = serverError;
+      BufferedResponse error = serverError;
       close();
       if (error != null) {
         exchange.sendResponse(error, "last_server_error");
@@ -232,7 +232,7 @@
       }
     }
 
-    private void onResponse(Attempt attempt, UpstreamAnswer response) {
+    private void onResponse(Attempt attempt, BufferedResponse response) {
       long now = timers.nanos();
       ResponseMetadata metadata = protocol.readResponse(response.head());
       if (response.succeeded() && !metadata.hasUpstreamStamp()) {
@@ -309,7 +309,7 @@
     }
 
     /** An attempt: one call of the request to one upstream. */
-    private final class Attempt extends CollectedAnswer {
+    private final class Attempt extends BufferedResponseListener {
       private final UpstreamId upstream;
       private final long sentNanos;
       private @Nullable Call call;
@@ -325,7 +325,7 @@
       }
 
       @Override
-      protected void answered(UpstreamAnswer response) {
+      protected void responseReceived(BufferedResponse response) {
         ActiveRequest.this.onResponse(this, response);
       }
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -16,15 +16,15 @@
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.gateway.config.EngineStage;
-import org.mustardlatch.gateway.config.EngineTraits;
+import org.mustardlatch.gateway.config.EngineSpec;
 import org.mustardlatch.gateway.config.Instance;
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallListener;
 import org.mustardlatch.gateway.http.CallRequest;
 import org.mustardlatch.gateway.http.CallerExchange;
-import org.mustardlatch.gateway.http.CollectedAnswer;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -82,8 +82,8 @@
       emit(new RoutingEvent.EngineReservationFailed(c.attempt(), Failure.REFUSED));
       return;
     }
-    EngineTraits engine = s.exchange.service().engine();
-    Duration longest = engine == null ? Duration.ZERO : engine.longestReservation();
+    EngineSpec engine = s.exchange.service().engine();
+    Duration longest = engine == null ? Duration.ZERO : engine.maxReservationTtl();
     Duration timeToLive =
         longest.compareTo(MAX_RESERVATION_TTL) < 0 ? longest : MAX_RESERVATION_TTL;
     sendCall(
@@ -193,7 +193,7 @@
   private record EngineReservation(Instance engine, String reservationId) {}
 
   /** Processes the response to a reservation request. */
-  private final class ReservationResponseListener extends CollectedAnswer {
+  private final class ReservationResponseListener extends BufferedResponseListener {
     private final AttemptId attempt;
     private final GenerationStream stream;
     private final Instance engine;
@@ -205,7 +205,7 @@
     }
 
     @Override
-    protected void answered(UpstreamAnswer response) {
+    protected void responseReceived(BufferedResponse response) {
       calls.remove(attempt);
       if (response.status() != HTTP_OK) {
         reportFailure("status " + response.status(), Failure.REFUSED);
@@ -240,7 +240,7 @@
   }
 
   /** Processes the response to a prefill. */
-  private final class PrefillResponseListener extends CollectedAnswer {
+  private final class PrefillResponseListener extends BufferedResponseListener {
     private final AttemptId attempt;
     private final GenerationStream stream;
     private final Instance source;
@@ -253,7 +253,7 @@
     }
 
     @Override
-    protected void answered(UpstreamAnswer response) {
+    protected void responseReceived(BufferedResponse response) {
       calls.remove(attempt);
       if (response.status() != HTTP_OK) {
         boolean notExecuted = protocol.readResponse(response.head()).notExecuted();
@@ -276,8 +276,8 @@
     }
 
     private KvHandle toKvHandle(ExportedKv kv) {
-      EngineTraits engine = stream.exchange.service().engine();
-      Duration timeToLive = engine == null ? Duration.ZERO : engine.handleLife();
+      EngineSpec engine = stream.exchange.service().engine();
+      Duration timeToLive = engine == null ? Duration.ZERO : engine.kvHandleTtl();
       long bytes = engine == null ? 0 : engine.kvBytesPerToken() * kv.tokens();
       long expires = timers.nanos() + timeToLive.minus(HANDLE_EXPIRY_MARGIN).toNanos();
       EventLog.log(
@@ -314,7 +314,7 @@
   private final class DecodeResponseListener implements CallListener {
     private final AttemptId attempt;
     private final GenerationStream stream;
-    private @Nullable UpstreamAnswer response;
+    private @Nullable BufferedResponse response;
     private boolean started;
 
     DecodeResponseListener(AttemptId attempt, GenerationStream stream) {
@@ -328,26 +328,26 @@
     }
 
     @Override
-    public void head(HttpResponse head) {
-      response = new UpstreamAnswer(head);
+    public void headReceived(HttpResponse head) {
+      response = new BufferedResponse(head);
     }
 
     /**
      * Returns whether the response is the event stream. A successful response without the stamp of
      * an upstream is not one.
      */
-    private boolean isUpstreamSuccess(UpstreamAnswer received) {
+    private boolean isUpstreamSuccess(BufferedResponse received) {
       return received.succeeded() && protocol.readResponse(received.head()).hasUpstreamStamp();
     }
 
     @Override
-    public void body(ByteBuf part) {
-      UpstreamAnswer received = response;
+    public void bodyReceived(ByteBuf part) {
+      BufferedResponse received = response;
       if (received == null) {
         return;
       }
       if (!isUpstreamSuccess(received)) {
-        received.add(part);
+        received.append(part);
         return;
       }
       if (!started) {
@@ -364,19 +364,19 @@
     }
 
     /** Sends complete events to the caller. */
-    private void forwardEvents(UpstreamAnswer received, ByteBuf events) {
+    private void forwardEvents(BufferedResponse received, ByteBuf events) {
       CallerExchange caller = stream.exchange.caller();
       if (events.isReadable()) {
         beginCallerResponse(received);
-        caller.part(events);
+        caller.sendBodyPart(events);
       }
     }
 
-    private void beginCallerResponse(UpstreamAnswer received) {
+    private void beginCallerResponse(BufferedResponse received) {
       CallerExchange caller = stream.exchange.caller();
-      if (!caller.started()) {
+      if (!caller.responseStarted()) {
         stream.exchange.recordFirstByte(timers.nanos());
-        caller.begin(received.head().status(), received.head().headers());
+        caller.beginResponse(received.head().status(), received.head().headers());
       }
       caller.onWritabilityChange(this::applyBackpressure);
     }
@@ -385,14 +385,14 @@
     private void applyBackpressure() {
       Call call = calls.get(attempt);
       if (call != null) {
-        call.setReading(stream.exchange.caller().writable());
+        call.setAutoRead(stream.exchange.caller().writable());
       }
     }
 
     @Override
-    public void end() {
+    public void completed() {
       calls.remove(attempt);
-      UpstreamAnswer received = response;
+      BufferedResponse received = response;
       if (received == null) {
         return;
       }
@@ -433,7 +433,7 @@
    * Logs a failure to release a KV cache or a reservation. Nothing else is done, because the engine
    * expires both after their time to live.
    */
-  private static final class ReleaseResponseListener extends CollectedAnswer {
+  private static final class ReleaseResponseListener extends BufferedResponseListener {
     private final String resourceName;
     private final String engineId;
 
@@ -443,7 +443,7 @@
     }
 
     @Override
-    protected void answered(UpstreamAnswer answer) {}
+    protected void responseReceived(BufferedResponse answer) {}
 
     @Override
     public void failed(CallFailure failure, String reason) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/ErrorResponse.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ErrorResponse.java
@@ -34,7 +34,7 @@
             + "\",\"message\":\""
             + message.replace('"', '\'')
             + "\"}}";
-    caller.answer(
+    caller.sendResponse(
         HttpResponseStatus.valueOf(status), headers, json.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
@@ -27,7 +27,7 @@
 import org.mustardlatch.core.model.WorkspaceId;
 import org.mustardlatch.core.model.ZoneId;
 import org.mustardlatch.gateway.config.EngineStage;
-import org.mustardlatch.gateway.config.EngineTraits;
+import org.mustardlatch.gateway.config.EngineSpec;
 import org.mustardlatch.gateway.config.GatewayConfiguration;
 import org.mustardlatch.gateway.config.GatewayRoute;
 import org.mustardlatch.gateway.config.GatewayService;
@@ -67,7 +67,7 @@
     List<Model> models = new ArrayList<>();
     List<Upstream> upstreams = new ArrayList<>();
     for (GatewayService s : c.services()) {
-      EngineTraits engine = s.engine();
+      EngineSpec engine = s.engine();
       if (engine != null) {
         models.add(model(s, engine, c));
         for (Instance i : fleet.instances()) {
@@ -102,7 +102,7 @@
     return zones.entrySet().stream().map(e -> new Region(e.getKey(), e.getValue())).toList();
   }
 
-  private static Model model(GatewayService s, EngineTraits engine, GatewayConfiguration c) {
+  private static Model model(GatewayService s, EngineSpec engine, GatewayConfiguration c) {
     Duration firstTokenTarget = DEFAULT_FIRST_TOKEN_TARGET;
     for (GatewayRoute r : c.routes()) {
       if (r.services().stream().anyMatch(w -> w.service().equals(s.name()))) {
@@ -113,13 +113,13 @@
         new ModelId(modelName(s.name())),
         firstTokenTarget,
         DEFAULT_TOKEN_GAP_TARGET,
-        engine.memoryTokens(),
+        engine.kvCapacityTokens(),
         engine.kvBytesPerToken(),
         KV_BLOCK_TOKENS,
-        !engine.longestReservation().isZero());
+        !engine.maxReservationTtl().isZero());
   }
 
-  private static Upstream upstream(Instance i, EngineTraits engine) {
+  private static Upstream upstream(Instance i, EngineSpec engine) {
     boolean prefill = i.stage() == EngineStage.PREFILL;
     int rate = DEFAULT_PREFILL_TOKENS_PER_SECOND;
     return new Upstream(
@@ -131,7 +131,7 @@
         i.slots(),
         // An engine of the decode pool processes prompts at half the speed of a prefill engine.
         prefill ? rate : rate / 2,
-        engine.memoryTokens() / KV_BLOCK_TOKENS,
+        engine.kvCapacityTokens() / KV_BLOCK_TOKENS,
         true,
         i.leaving());
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.gateway.http.UpstreamPool;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
-import org.mustardlatch.gateway.store.StoreAnswer;
+import org.mustardlatch.gateway.store.StoreResponse;
 import org.mustardlatch.gateway.store.StoreListener;
 import org.mustardlatch.gateway.store.StoredEntry;
 
@@ -86,7 +86,7 @@
    */
   public UpstreamPool poolFor(Instance target) {
     PooledInstance existing = pools.get(target.id());
-    if (existing != null && existing.instance().sameStart(target)) {
+    if (existing != null && existing.instance().isSameProcess(target)) {
       return existing.pool();
     }
     if (existing != null) {
@@ -102,7 +102,7 @@
     for (String id : new ArrayList<>(pools.keySet())) {
       Instance i = table.get(id);
       PooledInstance p = pools.get(id);
-      if (p != null && (i == null || !i.sameStart(p.instance()))) {
+      if (p != null && (i == null || !i.isSameProcess(p.instance()))) {
         pools.remove(id);
         p.pool().close();
       }
@@ -142,12 +142,12 @@
     }
 
     @Override
-    public void changed(StoreAnswer.Change<GatewayConfiguration> change) {
+    public void changed(StoreResponse.Change<GatewayConfiguration> change) {
       switch (change) {
-        case StoreAnswer.Change.Put<GatewayConfiguration> p -> apply(p.entry().content());
-        case StoreAnswer.Change.Unreadable<GatewayConfiguration> u ->
+        case StoreResponse.Change.Put<GatewayConfiguration> p -> apply(p.entry().content());
+        case StoreResponse.Change.Unreadable<GatewayConfiguration> u ->
             EventLog.log(LogEvent.CONFIGURATION_UNREADABLE, u.name());
-        case StoreAnswer.Change.Removed<GatewayConfiguration> r ->
+        case StoreResponse.Change.Removed<GatewayConfiguration> r ->
             EventLog.log(LogEvent.CONFIGURATION_UNREADABLE, r.name());
       }
     }
@@ -185,18 +185,18 @@
     }
 
     @Override
-    public void changed(StoreAnswer.Change<Instance> change) {
+    public void changed(StoreResponse.Change<Instance> change) {
       switch (change) {
-        case StoreAnswer.Change.Put<Instance> p -> {
+        case StoreResponse.Change.Put<Instance> p -> {
           Instance i = p.entry().content();
           table.put(i);
           EventLog.log(LogEvent.UPSTREAM_ENTRY, i.id(), i.service(), i.zone(), i.leaving());
         }
-        case StoreAnswer.Change.Unreadable<Instance> u -> {
+        case StoreResponse.Change.Unreadable<Instance> u -> {
           table.discard(u.name());
           EventLog.log(LogEvent.UPSTREAM_ENTRY_UNREADABLE, u.name());
         }
-        case StoreAnswer.Change.Removed<Instance> r -> {
+        case StoreResponse.Change.Removed<Instance> r -> {
           table.remove(r.name(), timers.nanos());
           EventLog.log(LogEvent.UPSTREAM_REMOVED, r.name());
           scheduleExpiry();
@@ -207,13 +207,13 @@
 
     @Override
     public void reachable(boolean afterOutage) {
-      table.storeAnswers(timers.nanos(), afterOutage);
+      table.storeBecameReachable(timers.nanos(), afterOutage);
       EventLog.log(LogEvent.STORE_REACHABLE, "upstreams");
     }
 
     @Override
     public void unreachable(String reason) {
-      table.storeLost();
+      table.storeBecameUnreachable();
       EventLog.log(LogEvent.STORE_UNREACHABLE, "upstreams", reason);
     }
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
@@ -174,7 +174,7 @@
   }
 
   @Override
-  public void request(CallerExchange caller) {
+  public void requestReceived(CallerExchange caller) {
     requestCount++;
     GatewayConfiguration c = fleet.configuration();
     if (c == null) {
@@ -182,12 +182,12 @@
       return;
     }
     String host = caller.head().headers().get(HttpHeaderNames.HOST, "");
-    GatewayRoute route = c.route(host, caller.head().uri());
+    GatewayRoute route = c.findRoute(host, caller.head().uri());
     if (route == null) {
       reject(caller, ErrorCode.UNKNOWN_ROUTE, "no route matches this host and path");
       return;
     }
-    GatewayService service = c.service(route.service(random.nextDouble()));
+    GatewayService service = c.findService(route.selectService(random.nextDouble()));
     RequestMetadata metadata = readMetadata(caller);
     if (metadata == null || service == null) {
       reject(caller, ErrorCode.INVALID_ARGUMENT, "a required header cannot be parsed");
@@ -237,7 +237,7 @@
   }
 
   @Override
-  public void left(CallerExchange caller) {
+  public void callerDisconnected(CallerExchange caller) {
     if (!applicationHandler.callerDisconnected(caller)) {
       generationHandler.callerDisconnected(caller);
     }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -18,7 +18,7 @@
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.gateway.http.CallerExchange;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -235,8 +235,8 @@
       return;
     }
     removeStream(s);
-    UpstreamAnswer failed = s.lastErrorResponse;
-    if (failed != null && !s.exchange.caller().started()) {
+    BufferedResponse failed = s.lastErrorResponse;
+    if (failed != null && !s.exchange.caller().responseStarted()) {
       s.exchange.sendResponse(failed, "last_server_error");
     } else {
       Duration retryAfter = c.retryAfter();
@@ -256,7 +256,7 @@
       s.logTiming();
       metrics.recordLongestPause(s.timing.longestPauseNanos());
       s.exchange.recordOutcome("completed", null, HTTP_OK);
-      s.exchange.caller().end();
+      s.exchange.caller().endResponse();
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.gateway.config.Instance;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -16,7 +16,7 @@
   final StreamTiming timing;
 
   /** The last error response of an upstream; null if there was none. */
-  @Nullable UpstreamAnswer lastErrorResponse;
+  @Nullable BufferedResponse lastErrorResponse;
 
   GenerationStream(RoutedExchange exchange) {
     this.exchange = exchange;
--- a/gateway/src/main/java/org/mustardlatch/gateway/PageServer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/PageServer.java
@@ -43,17 +43,17 @@
   }
 
   @Override
-  public void request(CallerExchange exchange) {
+  public void requestReceived(CallerExchange exchange) {
     String target = exchange.head().uri();
     int query = target.indexOf('?');
     Supplier<Page> page = pages.get(query < 0 ? target : target.substring(0, query));
     Page p = page == null ? new Page(404, "text/plain", "not found\n") : page.get();
     HttpHeaders headers = new DefaultHttpHeaders(false);
     headers.set("Content-Type", p.contentType());
-    exchange.answer(
+    exchange.sendResponse(
         HttpResponseStatus.valueOf(p.status()), headers, p.body().getBytes(StandardCharsets.UTF_8));
   }
 
   @Override
-  public void left(CallerExchange exchange) {}
+  public void callerDisconnected(CallerExchange exchange) {}
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
@@ -13,8 +13,8 @@
 import org.mustardlatch.gateway.config.GatewayService;
 import org.mustardlatch.gateway.http.CallRequest;
 import org.mustardlatch.gateway.http.CallerExchange;
-import org.mustardlatch.gateway.http.HopByHop;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.HopByHopHeaders;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -125,7 +125,7 @@
     HttpRequest original = caller.head();
     HttpHeaders headers = new DefaultHttpHeaders(false);
     headers.add(original.headers());
-    HopByHop.strip(headers);
+    HopByHopHeaders.strip(headers);
     protocol.rewriteHeaders(headers, plan);
     var head =
         new DefaultHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(), headers);
@@ -139,9 +139,9 @@
   }
 
   /** Sends an upstream's complete response to the caller. */
-  void sendResponse(UpstreamAnswer response, String upstream) {
+  void sendResponse(BufferedResponse response, String upstream) {
     recordOutcome("delivered", upstream, response.status());
-    caller.answer(response.head().status(), response.head().headers(), response.body());
+    caller.sendResponse(response.head().status(), response.head().headers(), response.body());
   }
 
   /**
@@ -153,7 +153,7 @@
     if (caller.done()) {
       return;
     }
-    if (caller.started()) {
+    if (caller.responseStarted()) {
       recordOutcome("broken_off", reason, 0);
       caller.abort();
       return;
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
@@ -58,7 +58,7 @@
   }
 
   /** Returns the service with this name, or null. */
-  public @Nullable GatewayService service(String name) {
+  public @Nullable GatewayService findService(String name) {
     return services.get(name);
   }
 
@@ -68,7 +68,7 @@
    * @param host value of the Host header; a port is ignored
    * @param path path with or without a query
    */
-  public @Nullable GatewayRoute route(String host, String path) {
+  public @Nullable GatewayRoute findRoute(String host, String path) {
     GatewayRoute best = null;
     for (GatewayRoute r : routesByHost.getOrDefault(withoutPort(host), List.of())) {
       if (path.startsWith(r.pathPrefix())
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayRoute.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayRoute.java
@@ -49,7 +49,7 @@
    *
    * @param draw evenly distributed from 0 (inclusive) to 1 (exclusive)
    */
-  public String service(double draw) {
+  public String selectService(double draw) {
     double total = 0;
     for (ServiceWeight w : services) {
       total += w.weight();
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayService.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayService.java
@@ -8,4 +8,4 @@
  * @param name name of the service
  * @param engine what its engines are; null for a plain application service
  */
-public record GatewayService(String name, @Nullable EngineTraits engine) {}
+public record GatewayService(String name, @Nullable EngineSpec engine) {}
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/Instance.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/Instance.java
@@ -25,7 +25,7 @@
     boolean leaving,
     @Nullable EngineStage stage) {
   /** Returns whether both are the same start of the same process. */
-  public boolean sameStart(Instance other) {
+  public boolean isSameProcess(Instance other) {
     return id.equals(other.id)
         && startedMillis == other.startedMillis
         && address.equals(other.address);
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
@@ -17,12 +17,12 @@
  */
 public final class InstanceTable {
   /** Time after the return of the store within which live upstreams register again. */
-  public static final long REREGISTER_NANOS = 2_000_000_000L;
+  public static final long REREGISTRATION_NANOS = 2_000_000_000L;
 
   private final Map<String, Instance> instances = new HashMap<>();
-  private final Map<String, Long> missing = new HashMap<>();
-  private boolean storeAway = true;
-  private long storeBackNanos = Long.MIN_VALUE;
+  private final Map<String, Long> removalDeadlines = new HashMap<>();
+  private boolean storeUnreachable = true;
+  private long storeRecoveredNanos = Long.MIN_VALUE;
 
   /** Returns the upstreams in force. */
   public Collection<Instance> all() {
@@ -35,16 +35,16 @@
   }
 
   /** Takes note that the store does not answer. */
-  public void storeLost() {
-    storeAway = true;
+  public void storeBecameUnreachable() {
+    storeUnreachable = true;
   }
 
   /** Takes note that the store answers; {@code afterOutage} holds back removals for a while. */
-  public void storeAnswers(long now, boolean afterOutage) {
-    if (storeAway && afterOutage) {
-      storeBackNanos = now;
+  public void storeBecameReachable(long now, boolean afterOutage) {
+    if (storeUnreachable && afterOutage) {
+      storeRecoveredNanos = now;
     }
-    storeAway = false;
+    storeUnreachable = false;
   }
 
   /** Replaces everything that is known by a complete list. */
@@ -63,7 +63,7 @@
 
   /** Adds or changes an upstream. */
   public void put(Instance instance) {
-    missing.remove(instance.id());
+    removalDeadlines.remove(instance.id());
     instances.put(instance.id(), instance);
   }
 
@@ -72,26 +72,26 @@
     if (!instances.containsKey(id)) {
       return;
     }
-    if (storeBackNanos != Long.MIN_VALUE && now - storeBackNanos < REREGISTER_NANOS) {
-      missing.putIfAbsent(id, storeBackNanos + REREGISTER_NANOS);
+    if (storeRecoveredNanos != Long.MIN_VALUE && now - storeRecoveredNanos < REREGISTRATION_NANOS) {
+      removalDeadlines.putIfAbsent(id, storeRecoveredNanos + REREGISTRATION_NANOS);
     } else {
       instances.remove(id);
-      missing.remove(id);
+      removalDeadlines.remove(id);
     }
   }
 
   /** Drops an upstream whose entry can no longer be read. */
   public void discard(String id) {
     instances.remove(id);
-    missing.remove(id);
+    removalDeadlines.remove(id);
   }
 
   /** Removes upstreams that did not register again in time; returns whether there were any. */
   public boolean expire(long now) {
     boolean changed = false;
-    for (var e : new ArrayList<>(missing.entrySet())) {
+    for (var e : new ArrayList<>(removalDeadlines.entrySet())) {
       if (now >= e.getValue()) {
-        missing.remove(e.getKey());
+        removalDeadlines.remove(e.getKey());
         instances.remove(e.getKey());
         changed = true;
       }
@@ -101,6 +101,6 @@
 
   /** Returns the time at which {@link #expire} has something to do, or null. */
   public @Nullable Long nextExpiryNanos() {
-    return missing.values().stream().min(Long::compare).orElse(null);
+    return removalDeadlines.values().stream().min(Long::compare).orElse(null);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamAnswer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponse.java
@@ -5,19 +5,19 @@
 import java.io.ByteArrayOutputStream;
 
 /** An answer of an upstream that is collected before it goes on. */
-public final class UpstreamAnswer {
-  private static final int FIRST_FAILURE = 300;
+public final class BufferedResponse {
+  private static final int FIRST_NON_SUCCESS_STATUS = 300;
 
   private final HttpResponse head;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
   /** Creates an answer without a body. */
-  public UpstreamAnswer(HttpResponse head) {
+  public BufferedResponse(HttpResponse head) {
     this.head = head;
   }
 
   /** Copies a part of the body. */
-  public void add(ByteBuf part) {
+  public void append(ByteBuf part) {
     byte[] bytes = new byte[part.readableBytes()];
     part.readBytes(bytes);
     body.writeBytes(bytes);
@@ -35,7 +35,7 @@
 
   /** Returns whether the status is no redirection and no failure. */
   public boolean succeeded() {
-    return status() < FIRST_FAILURE;
+    return status() < FIRST_NON_SUCCESS_STATUS;
   }
 
   /** Returns the body collected so far. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/Call.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/Call.java
@@ -22,11 +22,11 @@
     return listener;
   }
 
-  void on(UpstreamConnection c) {
+  void assignConnection(UpstreamConnection c) {
     connection = c;
   }
 
-  void finished() {
+  void markDone() {
     done = true;
     connection = null;
   }
@@ -38,14 +38,14 @@
   /** Gives the answer up. Closes the connection, by which the upstream hears of it. */
   public void cancel() {
     UpstreamConnection c = connection;
-    finished();
+    markDone();
     if (c != null) {
       c.close();
     }
   }
 
   /** Stops or goes on reading the answer, so that a slow caller holds up its upstream. */
-  public void setReading(boolean reading) {
+  public void setAutoRead(boolean reading) {
     UpstreamConnection c = connection;
     if (c != null) {
       c.setAutoRead(reading);
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
@@ -12,13 +12,13 @@
   default void sent() {}
 
   /** The status and the headers. */
-  void head(HttpResponse head);
+  void headReceived(HttpResponse head);
 
   /** A part of the body; the buffer is only valid during the call. */
-  void body(ByteBuf part);
+  void bodyReceived(ByteBuf part);
 
   /** The answer is complete. */
-  void end();
+  void completed();
 
   /** There will be no whole answer. */
   void failed(CallFailure failure, String reason);
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
@@ -9,7 +9,7 @@
   private final HttpRequest head;
   private final byte[] body;
   private final boolean repeatable;
-  private final Predicate<HttpResponse> answers;
+  private final Predicate<HttpResponse> responseMatcher;
 
   /**
    * Creates a request.
@@ -25,7 +25,7 @@
     this.head = head;
     this.body = body;
     this.repeatable = repeatable;
-    this.answers = answers;
+    this.responseMatcher = answers;
   }
 
   HttpRequest head() {
@@ -40,7 +40,7 @@
     return repeatable;
   }
 
-  boolean isAnsweredBy(HttpResponse response) {
-    return answers.test(response);
+  boolean matches(HttpResponse response) {
+    return responseMatcher.test(response);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
@@ -44,11 +44,11 @@
 
   private final CallerServer server;
   private final Channel channel;
-  private final Queue<HttpObject> queued = new ArrayDeque<>();
+  private final Queue<HttpObject> queuedParts = new ArrayDeque<>();
   private @Nullable HttpRequest head;
   private long headNanos;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private @Nullable CallerExchange current;
+  private @Nullable CallerExchange currentExchange;
   private boolean keepAlive;
   private boolean closing;
   private long idleSinceNanos;
@@ -62,8 +62,8 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    server.opened(this);
-    waitIdle();
+    server.connectionOpened(this);
+    startIdleTimer();
   }
 
   @Override
@@ -72,28 +72,28 @@
       ReferenceCountUtil.release(message);
       return;
     }
-    queued.add((HttpObject) message);
-    if (queued.size() > MAX_QUEUED_PARTS) {
+    queuedParts.add((HttpObject) message);
+    if (queuedParts.size() > MAX_QUEUED_PARTS) {
       channel.config().setAutoRead(false);
     }
     drainQueue();
   }
 
   private void drainQueue() {
-    while (current == null && !closing && !queued.isEmpty()) {
-      HttpObject o = queued.remove();
+    while (currentExchange == null && !closing && !queuedParts.isEmpty()) {
+      HttpObject o = queuedParts.remove();
       try {
-        take(o);
+        processPart(o);
       } finally {
         ReferenceCountUtil.release(o);
       }
     }
-    if (queued.isEmpty()) {
+    if (queuedParts.isEmpty()) {
       channel.config().setAutoRead(true);
     }
   }
 
-  private void take(HttpObject o) {
+  private void processPart(HttpObject o) {
     if (o.decoderResult().isFailure()) {
       reject(HttpResponseStatus.BAD_REQUEST);
       return;
@@ -123,8 +123,8 @@
         head = null;
         keepAlive = HttpUtil.isKeepAlive(r);
         CallerExchange e = new CallerExchange(this, r, body.toByteArray(), headNanos);
-        current = e;
-        server.handler().request(e);
+        currentExchange = e;
+        server.handler().requestReceived(e);
       }
     }
   }
@@ -141,8 +141,8 @@
     return !keepAlive || server.draining();
   }
 
-  void answer(CallerExchange e, HttpResponseStatus status, HttpHeaders headers, byte[] content) {
-    HttpHeaders h = endToEnd(headers);
+  void sendResponse(CallerExchange e, HttpResponseStatus status, HttpHeaders headers, byte[] content) {
+    HttpHeaders h = endToEndHeaders(headers);
     boolean bodiless =
         status.code() == 204 || status.code() == 304 || e.head().method().equals(HttpMethod.HEAD);
     if (status.code() != 204) {
@@ -162,11 +162,11 @@
             Unpooled.wrappedBuffer(bodiless ? new byte[0] : content),
             h,
             EmptyHttpHeaders.INSTANCE);
-    finish(channel.writeAndFlush(response), close);
+    finishExchange(channel.writeAndFlush(response), close);
   }
 
-  void begin(CallerExchange e, HttpResponseStatus status, HttpHeaders headers) {
-    HttpHeaders h = endToEnd(headers);
+  void beginResponse(CallerExchange e, HttpResponseStatus status, HttpHeaders headers) {
+    HttpHeaders h = endToEndHeaders(headers);
     h.remove(HttpHeaderNames.CONTENT_LENGTH);
     h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     if (mustClose()) {
@@ -177,29 +177,29 @@
     var unused = channel.write(response);
   }
 
-  void part(ByteBuf part) {
+  void sendBodyPart(ByteBuf part) {
     var unused = channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(part)));
   }
 
-  void end() {
-    finish(channel.writeAndFlush(new DefaultLastHttpContent()), !keepAlive);
+  void endResponse() {
+    finishExchange(channel.writeAndFlush(new DefaultLastHttpContent()), !keepAlive);
   }
 
-  private void finish(io.netty.channel.ChannelFuture sent, boolean close) {
-    current = null;
+  private void finishExchange(io.netty.channel.ChannelFuture sent, boolean close) {
+    currentExchange = null;
     writabilityTask = () -> {};
     if (close) {
       closing = true;
       sent.addListener(ChannelFutureListener.CLOSE);
     } else {
-      waitIdle();
+      startIdleTimer();
       drainQueue();
     }
   }
 
   void abort() {
     closing = true;
-    current = null;
+    currentExchange = null;
     // A reset, since an orderly close could be taken for the end of the answer.
     try {
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -224,20 +224,20 @@
 
   /** Closes the connection if no request is in progress or half received. */
   void closeIfIdle() {
-    if (current == null && head == null && queued.isEmpty()) {
+    if (currentExchange == null && head == null && queuedParts.isEmpty()) {
       closing = true;
       var unused = channel.close();
     }
   }
 
-  private void waitIdle() {
+  private void startIdleTimer() {
     stopIdleTimer();
     idleSinceNanos = server.now();
     Duration limit = server.limits().idleTimeout();
-    idleTimer = server.timers().schedule(limit.plus(CallerServer.IDLE_MARGIN), this::idleTooLong);
+    idleTimer = server.timers().schedule(limit.plus(CallerServer.IDLE_MARGIN), this::idleTimerFired);
   }
 
-  private void idleTooLong() {
+  private void idleTimerFired() {
     if (server.now() - idleSinceNanos >= server.limits().idleTimeout().toNanos()) {
       closeIfIdle();
     }
@@ -254,14 +254,14 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     closing = true;
     stopIdleTimer();
-    server.closed(this);
-    queued.forEach(ReferenceCountUtil::release);
-    queued.clear();
-    CallerExchange e = current;
-    current = null;
+    server.connectionClosed(this);
+    queuedParts.forEach(ReferenceCountUtil::release);
+    queuedParts.clear();
+    CallerExchange e = currentExchange;
+    currentExchange = null;
     if (e != null) {
-      e.callerLeft();
-      server.handler().left(e);
+      e.markCallerDisconnected();
+      server.handler().callerDisconnected(e);
     }
   }
 
@@ -272,10 +272,10 @@
   }
 
   /** Returns the headers without those that concern only one connection. */
-  private static HttpHeaders endToEnd(HttpHeaders headers) {
+  private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
     HttpHeaders h = new DefaultHttpHeaders(false);
     h.add(headers);
-    HopByHop.strip(h);
+    HopByHopHeaders.strip(h);
     return h;
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerExchange.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerExchange.java
@@ -11,7 +11,7 @@
   private final HttpRequest head;
   private final byte[] body;
   private final long receivedNanos;
-  private boolean started;
+  private boolean responseStarted;
   private boolean done;
 
   CallerExchange(CallerConnection connection, HttpRequest head, byte[] body, long receivedNanos) {
@@ -37,8 +37,8 @@
   }
 
   /** Returns whether the head of an answer was sent. */
-  public boolean started() {
-    return started;
+  public boolean responseStarted() {
+    return responseStarted;
   }
 
   /** Returns whether it was answered, aborted, or its caller is gone. */
@@ -47,34 +47,34 @@
   }
 
   /** Sends a whole answer. */
-  public void answer(HttpResponseStatus status, HttpHeaders headers, byte[] content) {
-    if (!done && !started) {
-      started = true;
+  public void sendResponse(HttpResponseStatus status, HttpHeaders headers, byte[] content) {
+    if (!done && !responseStarted) {
+      responseStarted = true;
       done = true;
-      connection.answer(this, status, headers, content);
+      connection.sendResponse(this, status, headers, content);
     }
   }
 
   /** Sends the head of an answer whose body follows in parts. */
-  public void begin(HttpResponseStatus status, HttpHeaders headers) {
-    if (!done && !started) {
-      started = true;
-      connection.begin(this, status, headers);
+  public void beginResponse(HttpResponseStatus status, HttpHeaders headers) {
+    if (!done && !responseStarted) {
+      responseStarted = true;
+      connection.beginResponse(this, status, headers);
     }
   }
 
   /** Sends a part of the body; the buffer is copied. */
-  public void part(ByteBuf part) {
+  public void sendBodyPart(ByteBuf part) {
     if (!done) {
-      connection.part(part);
+      connection.sendBodyPart(part);
     }
   }
 
   /** Ends an answer that was begun. */
-  public void end() {
+  public void endResponse() {
     if (!done) {
       done = true;
-      connection.end();
+      connection.endResponse();
     }
   }
 
@@ -96,7 +96,7 @@
     connection.onWritabilityChange(task);
   }
 
-  void callerLeft() {
+  void markCallerDisconnected() {
     done = true;
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerHandler.java
@@ -6,8 +6,8 @@
    * Takes a whole request. The exchange must get exactly one answer or be aborted, unless its
    * caller leaves first.
    */
-  void request(CallerExchange exchange);
+  void requestReceived(CallerExchange exchange);
 
   /** The caller of an unanswered request is gone. */
-  void left(CallerExchange exchange);
+  void callerDisconnected(CallerExchange exchange);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
@@ -54,7 +54,7 @@
         new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class);
     b.option(ChannelOption.SO_BACKLOG, BACKLOG);
     b.option(ChannelOption.SO_REUSEADDR, true);
-    ChannelOptions.all().forEach((option, value) -> set(b, option, value));
+    ChannelOptions.all().forEach((option, value) -> setChildOption(b, option, value));
     b.childHandler(
         new ChannelInitializer<Channel>() {
           @Override
@@ -68,7 +68,7 @@
   }
 
   @SuppressWarnings("unchecked")
-  private static void set(ServerBootstrap b, ChannelOption<?> option, Object value) {
+  private static void setChildOption(ServerBootstrap b, ChannelOption<?> option, Object value) {
     b.childOption((ChannelOption<Object>) option, value);
   }
 
@@ -111,11 +111,11 @@
     return draining;
   }
 
-  void opened(CallerConnection c) {
+  void connectionOpened(CallerConnection c) {
     connections.add(c);
   }
 
-  void closed(CallerConnection c) {
+  void connectionClosed(CallerConnection c) {
     connections.remove(c);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/HopByHop.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Headers that concern one connection (RFC 9110, section 7.6.1). */
-public final class HopByHop {
+public final class HopByHopHeaders {
   private static final List<String> NAMES =
       List.of(
           "Connection",
@@ -19,7 +19,7 @@
           "Upgrade",
           "Expect");
 
-  private HopByHop() {}
+  private HopByHopHeaders() {}
 
   /** Removes these headers and those that the Connection header names. */
   public static void strip(HttpHeaders headers) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
@@ -26,7 +26,7 @@
   @Override
   public TimerSubscription schedule(Duration delay, Runnable task) {
     long nanos = Math.max(0, delay.toNanos());
-    ScheduledFuture<?> f = loop.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
+    ScheduledFuture<?> f = loop.schedule(loggingExceptions(task), nanos, TimeUnit.NANOSECONDS);
     return () -> f.cancel(false);
   }
 
@@ -34,12 +34,12 @@
   public TimerSubscription every(Duration period, Runnable task) {
     long nanos = period.toNanos();
     ScheduledFuture<?> f =
-        loop.scheduleWithFixedDelay(guarded(task), nanos, nanos, TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(loggingExceptions(task), nanos, nanos, TimeUnit.NANOSECONDS);
     return () -> f.cancel(false);
   }
 
   /** An exception must not end a repeated task, so it is logged here. */
-  private static Runnable guarded(Runnable task) {
+  private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
@@ -29,10 +29,10 @@
   private final ResponseDecoder decoder;
   private final Channel channel;
   private @Nullable Call call;
-  private @Nullable ChannelFuture written;
-  private boolean skipping;
-  private boolean headSeen;
-  private boolean closeAfter;
+  private @Nullable ChannelFuture requestWritten;
+  private boolean skippingResponse;
+  private boolean headReceived;
+  private boolean closeAfterResponse;
   private boolean broken;
   private long keepAliveNanos = DEFAULT_KEEP_ALIVE.toNanos();
   private long idleSinceNanos;
@@ -48,14 +48,14 @@
     long idle = now - idleSinceNanos;
     // The upstream closes at its own time, and the news of it takes a moment.
     long limit =
-        repeatable ? keepAliveNanos * 3 / 4 : Math.min(keepAliveNanos / 4, pool.freshNanos());
+        repeatable ? keepAliveNanos * 3 / 4 : Math.min(keepAliveNanos / 4, pool.maxIdleNanosForNonRepeatable());
     return channel.isActive() && !broken && idle < limit;
   }
 
   void send(Call next, CallRequest request) {
     call = next;
-    headSeen = false;
-    closeAfter = false;
+    headReceived = false;
+    closeAfterResponse = false;
     HttpHeaders headers = request.head().headers();
     decoder.expectNoBody(HttpMethod.HEAD.equals(request.head().method()));
     headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
@@ -63,7 +63,7 @@
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
     var unused = channel.write(request.head());
-    written =
+    requestWritten =
         channel.writeAndFlush(new DefaultLastHttpContent(Unpooled.wrappedBuffer(request.body())));
     next.listener().sent();
   }
@@ -82,20 +82,20 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (message instanceof HttpResponse r) {
-        head(r);
+        handleHead(r);
       }
       if (message instanceof HttpContent c) {
-        content(c);
+        handleContent(c);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  private void head(HttpResponse r) {
+  private void handleHead(HttpResponse r) {
     Call c = call;
     if (r.decoderResult().isFailure()) {
-      fail(CallFailure.GARBLED, "no HTTP response");
+      failCall(CallFailure.GARBLED, "no HTTP response");
       return;
     }
     if (c == null) {
@@ -104,22 +104,22 @@
       return;
     }
     boolean interim = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    skipping = interim || !c.request().isAnsweredBy(r);
-    if (skipping) {
+    skippingResponse = interim || !c.request().matches(r);
+    if (skippingResponse) {
       // The connection has carried an answer of another request; it is not used again.
-      closeAfter |= !interim;
+      closeAfterResponse |= !interim;
       return;
     }
-    headSeen = true;
-    keepAlive(r.headers());
+    headReceived = true;
+    readKeepAliveTimeout(r.headers());
     if (r.headers().containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true)
         || r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-      closeAfter = true;
+      closeAfterResponse = true;
     }
-    c.listener().head(r);
+    c.listener().headReceived(r);
   }
 
-  private void keepAlive(HttpHeaders headers) {
+  private void readKeepAliveTimeout(HttpHeaders headers) {
     String value = headers.get("Keep-Alive");
     if (value == null) {
       return;
@@ -137,64 +137,64 @@
     }
   }
 
-  private void content(HttpContent content) {
+  private void handleContent(HttpContent content) {
     Call c = call;
     if (c == null || broken) {
       return;
     }
     if (content.decoderResult().isFailure()) {
-      fail(CallFailure.GARBLED, "broken body");
+      failCall(CallFailure.GARBLED, "broken body");
       return;
     }
-    if (skipping) {
-      skipping = !(content instanceof LastHttpContent);
+    if (skippingResponse) {
+      skippingResponse = !(content instanceof LastHttpContent);
       return;
     }
-    if (!headSeen) {
+    if (!headReceived) {
       return;
     }
     if (content.content().isReadable()) {
-      c.listener().body(content.content());
+      c.listener().bodyReceived(content.content());
     }
     if (content instanceof LastHttpContent && call == c) {
-      end(c);
+      completeCall(c);
     }
   }
 
-  private void end(Call c) {
+  private void completeCall(Call c) {
     call = null;
-    ChannelFuture w = written;
+    ChannelFuture w = requestWritten;
     // A request that the upstream has not read to its end must not be mixed with the next one.
-    boolean keep = !closeAfter && w != null && w.isSuccess() && channel.isActive();
+    boolean keep = !closeAfterResponse && w != null && w.isSuccess() && channel.isActive();
     idleSinceNanos = pool.now();
     setAutoRead(true);
-    c.finished();
+    c.markDone();
     if (keep) {
-      pool.idle(this);
+      pool.idleConnections(this);
     } else {
       close();
     }
-    c.listener().end();
+    c.listener().completed();
   }
 
-  private void fail(CallFailure failure, String reason) {
+  private void failCall(CallFailure failure, String reason) {
     Call c = call;
     close();
     pool.closed(this);
     if (c != null) {
-      c.finished();
+      c.markDone();
       c.listener().failed(failure, reason);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    fail(CallFailure.BROKEN, "connection closed by upstream");
+    failCall(CallFailure.BROKEN, "connection closed by upstream");
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    fail(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
+    failCall(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
   }
 
   /** Decodes responses without pairing them with requests, which stray answers would break. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -20,8 +20,8 @@
   private final MonotonicClock clock;
   private final InetSocketAddress address;
   private final Duration connectTimeout;
-  private final Duration fresh;
-  private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
+  private final Duration maxIdleForNonRepeatable;
+  private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
   private boolean closed;
 
   /**
@@ -41,22 +41,22 @@
     this.clock = clock;
     this.address = address;
     this.connectTimeout = connectTimeout;
-    this.fresh = fresh;
+    this.maxIdleForNonRepeatable = fresh;
   }
 
   long now() {
     return clock.nanos();
   }
 
-  long freshNanos() {
-    return fresh.toNanos();
+  long maxIdleNanosForNonRepeatable() {
+    return maxIdleForNonRepeatable.toNanos();
   }
 
   /** Sends a request; the listener hears of its answer. */
   public Call send(CallRequest request, CallListener listener) {
     Call call = new Call(request, listener);
     long now = clock.nanos();
-    for (UpstreamConnection c = idle.pollLast(); c != null; c = idle.pollLast()) {
+    for (UpstreamConnection c = idleConnections.pollLast(); c != null; c = idleConnections.pollLast()) {
       if (c.usable(request.repeatable(), now)) {
         start(call, c);
         return call;
@@ -68,13 +68,13 @@
   }
 
   private static void start(Call call, UpstreamConnection c) {
-    call.on(c);
+    call.assignConnection(c);
     c.send(call, call.request());
   }
 
   private void connect(Call call) {
     Bootstrap b = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-    ChannelOptions.all().forEach((option, value) -> set(b, option, value));
+    ChannelOptions.all().forEach((option, value) -> setOption(b, option, value));
     b.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis());
     b.handler(
         new ChannelInitializer<Channel>() {
@@ -87,41 +87,41 @@
             ch.pipeline().addLast("connection", connection);
           }
         });
-    b.connect(address).addListener((ChannelFuture f) -> connected(f, call));
+    b.connect(address).addListener((ChannelFuture f) -> connectFinished(f, call));
   }
 
-  private static void connected(ChannelFuture f, Call call) {
+  private static void connectFinished(ChannelFuture f, Call call) {
     if (call.done()) {
       var unused = f.channel().close();
     } else if (f.isSuccess()) {
       start(call, (UpstreamConnection) f.channel().pipeline().get("connection"));
     } else {
-      call.finished();
+      call.markDone();
       call.listener().failed(CallFailure.NOT_SENT, String.valueOf(f.cause().getMessage()));
     }
   }
 
   @SuppressWarnings("unchecked")
-  private static void set(Bootstrap b, ChannelOption<?> option, Object value) {
+  private static void setOption(Bootstrap b, ChannelOption<?> option, Object value) {
     b.option((ChannelOption<Object>) option, value);
   }
 
-  void idle(UpstreamConnection c) {
+  void idleConnections(UpstreamConnection c) {
     if (closed) {
       c.close();
     } else {
-      idle.addLast(c);
+      idleConnections.addLast(c);
     }
   }
 
   void closed(UpstreamConnection c) {
-    idle.remove(c);
+    idleConnections.remove(c);
   }
 
   /** Closes idle connections; those in use close at the end of their call. */
   public void close() {
     closed = true;
-    idle.forEach(UpstreamConnection::close);
-    idle.clear();
+    idleConnections.forEach(UpstreamConnection::close);
+    idleConnections.clear();
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/BoundedConsoleWriter.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/BoundedConsoleWriter.java
@@ -28,7 +28,7 @@
   private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(CAPACITY);
   private final AtomicLong dropped = new AtomicLong();
   private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
-  private final Object writing = new Object();
+  private final Object writeLock = new Object();
 
   /** Creates a writer; called by tinylog with the properties of the writer. */
   public BoundedConsoleWriter(Map<String, String> properties) {
@@ -82,7 +82,7 @@
     if (lost > 0) {
       batch.append("log lines dropped=").append(lost).append('\n');
     }
-    synchronized (writing) {
+    synchronized (writeLock) {
       try {
         out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
       } catch (IOException e) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
@@ -33,7 +33,7 @@
   private final StoreWatcher<Instance> instances;
 
   /** Creates a node that does not run yet. */
-  public GatewayNode(NodePorts ports) {
+  public GatewayNode(PlatformComponents ports) {
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     TimerService timers = new NettyTimerService(loop);
@@ -47,7 +47,7 @@
     peers =
         peerAddress == null
             ? new NoPeers(settings)
-            : new PeerLink(settings, peerAddress, incarnation, timers, random, group, loop);
+            : new NetworkPeers(settings, peerAddress, incarnation, timers, random, group, loop);
     gateway =
         new Gateway(settings, loop, timers, fleet, ports.protocol(), peers, incarnation, random);
     var pool = new UpstreamPool(loop, timers, ports.store(), STORE_CONNECT_TIMEOUT, Duration.ZERO);
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/PeerLink.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/NetworkPeers.java
@@ -23,7 +23,7 @@
 import org.mustardlatch.wire.PeerNodeOptions;
 
 /** The peers of a node over the fleet's own protocol. */
-final class PeerLink implements Peers, PeerNodeListener {
+final class NetworkPeers implements Peers, PeerNodeListener {
   private final PeerNode node;
   private final Executor loop;
   private Consumer<RoutingEvent> events = e -> {};
@@ -34,7 +34,7 @@
    * @param bind where this node listens for its peers
    * @param incarnation greater than those of earlier processes of this host
    */
-  PeerLink(
+  NetworkPeers(
       GatewaySettings settings,
       InetSocketAddress bind,
       long incarnation,
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/NodeAdapter.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/NodeAdapter.java
@@ -12,5 +12,5 @@
    * @param settings its text
    * @throws org.mustardlatch.core.error.MustardlatchException if it can't be used
    */
-  NodePorts ports(String file, String settings);
+  PlatformComponents createComponents(String file, String settings);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/NodePorts.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/PlatformComponents.java
@@ -16,7 +16,7 @@
  * @param configuration how the configuration is stored
  * @param instances how upstreams register
  */
-public record NodePorts(
+public record PlatformComponents(
     GatewaySettings settings,
     InetSocketAddress store,
     PlatformProtocol protocol,
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
@@ -17,7 +17,7 @@
    * @param name without the prefix SIG, for example {@code HUP}
    * @throws MustardlatchException if this JDK does not offer signals
    */
-  public static void on(String name, Runnable task) {
+  public static void handle(String name, Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
@@ -10,14 +10,14 @@
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallRequest;
-import org.mustardlatch.gateway.http.CollectedAnswer;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.http.UpstreamPool;
 
 /** Reads objects of one kind over HTTP. */
 public final class HttpStoreReader<T> implements StoreReader<T> {
   // A store that answers in milliseconds is taken for unreachable after this.
-  private static final Duration TIMEOUT = Duration.ofMillis(1_500);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
   private final TimerService timers;
   private final UpstreamPool pool;
@@ -31,55 +31,55 @@
   }
 
   @Override
-  public void list(@Nullable String after, Consumer<StoreAnswer<T>> answer) {
-    call(codec.list(after), TIMEOUT, codec::readList, answer);
+  public void list(@Nullable String after, Consumer<StoreResponse<T>> answer) {
+    send(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, answer);
   }
 
   @Override
-  public void watch(long revision, Duration wait, Consumer<StoreAnswer<T>> answer) {
-    call(codec.watch(revision, wait), wait.plus(TIMEOUT), codec::readWatch, answer);
+  public void watch(long revision, Duration wait, Consumer<StoreResponse<T>> answer) {
+    send(codec.watchRequest(revision, wait), wait.plus(RESPONSE_TIMEOUT), codec::decodeWatch, answer);
   }
 
-  private void call(
+  private void send(
       HttpRequest request,
       Duration timeout,
-      BiFunction<Integer, byte[], StoreAnswer<T>> decoder,
-      Consumer<StoreAnswer<T>> answer) {
-    var listener = new Reading(decoder, answer);
+      BiFunction<Integer, byte[], StoreResponse<T>> decoder,
+      Consumer<StoreResponse<T>> answer) {
+    var listener = new PendingRead(decoder, answer);
     listener.timer = timers.schedule(timeout, listener::timedOut);
     listener.call = pool.send(new CallRequest(request, new byte[0], true, r -> true), listener);
   }
 
   /** Collects one answer. */
-  private final class Reading extends CollectedAnswer {
-    private final BiFunction<Integer, byte[], StoreAnswer<T>> decoder;
-    private final Consumer<StoreAnswer<T>> answer;
+  private final class PendingRead extends BufferedResponseListener {
+    private final BiFunction<Integer, byte[], StoreResponse<T>> decoder;
+    private final Consumer<StoreResponse<T>> answer;
     private @Nullable Call call;
     private @Nullable TimerSubscription timer;
 
-    Reading(BiFunction<Integer, byte[], StoreAnswer<T>> decoder, Consumer<StoreAnswer<T>> answer) {
+    PendingRead(BiFunction<Integer, byte[], StoreResponse<T>> decoder, Consumer<StoreResponse<T>> answer) {
       this.decoder = decoder;
       this.answer = answer;
     }
 
     @Override
-    protected void answered(UpstreamAnswer whole) {
+    protected void responseReceived(BufferedResponse whole) {
       finish(decoder.apply(whole.status(), whole.body()));
     }
 
     @Override
     public void failed(CallFailure failure, String reason) {
-      finish(new StoreAnswer.Unavailable<>(failure + " " + reason));
+      finish(new StoreResponse.Unavailable<>(failure + " " + reason));
     }
 
     void timedOut() {
       if (call != null) {
         call.cancel();
       }
-      finish(new StoreAnswer.Unavailable<>("no answer in time"));
+      finish(new StoreResponse.Unavailable<>("no answer in time"));
     }
 
-    private void finish(StoreAnswer<T> result) {
+    private void finish(StoreResponse<T> result) {
       if (timer != null) {
         timer.cancel();
       }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
@@ -7,14 +7,14 @@
 /** How reads of objects of one kind look on the wire of a platform's store. */
 public interface StoreCodec<T> {
   /** Returns the request for a list, from the first object or after a name. */
-  HttpRequest list(@Nullable String after);
+  HttpRequest listRequest(@Nullable String after);
 
   /** Returns the request that waits for changes after a revision. */
-  HttpRequest watch(long revision, Duration wait);
+  HttpRequest watchRequest(long revision, Duration wait);
 
-  /** Reads the answer to a list; what can't be read is {@link StoreAnswer.Unavailable}. */
-  StoreAnswer<T> readList(int status, byte[] body);
+  /** Reads the answer to a list; what can't be read is {@link StoreResponse.Unavailable}. */
+  StoreResponse<T> decodeList(int status, byte[] body);
 
-  /** Reads the answer to a watch; what can't be read is {@link StoreAnswer.Unavailable}. */
-  StoreAnswer<T> readWatch(int status, byte[] body);
+  /** Reads the answer to a watch; what can't be read is {@link StoreResponse.Unavailable}. */
+  StoreResponse<T> decodeWatch(int status, byte[] body);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreListener.java
@@ -8,7 +8,7 @@
   void listed(List<StoredEntry<T>> entries, List<String> unreadable);
 
   /** One change. */
-  void changed(StoreAnswer.Change<T> change);
+  void changed(StoreResponse.Change<T> change);
 
   /** The store answers; called before what it brings. */
   void reachable(boolean afterOutage);
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreReader.java
@@ -10,7 +10,7 @@
  */
 public interface StoreReader<T> {
   /** Lists objects, from the first one or after a name. */
-  void list(@Nullable String after, Consumer<StoreAnswer<T>> answer);
+  void list(@Nullable String after, Consumer<StoreResponse<T>> answer);
 
   /**
    * Waits for changes.
@@ -18,5 +18,5 @@
    * @param revision changes after this one are wanted
    * @param wait how long the store may keep the call waiting
    */
-  void watch(long revision, Duration wait, Consumer<StoreAnswer<T>> answer);
+  void watch(long revision, Duration wait, Consumer<StoreResponse<T>> answer);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreAnswer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreResponse.java
@@ -4,31 +4,31 @@
 import org.jspecify.annotations.Nullable;
 
 /** What a store answers to a read. */
-public sealed interface StoreAnswer<T> {
+public sealed interface StoreResponse<T> {
   /**
    * A page of a list.
    *
    * @param entries readable objects
    * @param unreadable names of objects whose content can't be used
-   * @param after where the next page starts; null on the last one
+   * @param nextPageAfter where the next page starts; null on the last one
    * @param revision revision of the store
    */
   record Page<T>(
-      List<StoredEntry<T>> entries, List<String> unreadable, @Nullable String after, long revision)
-      implements StoreAnswer<T> {}
+      List<StoredEntry<T>> entries, List<String> unreadable, @Nullable String nextPageAfter, long revision)
+      implements StoreResponse<T> {}
 
   /**
    * Changes in the order in which they were made; empty when a watch ended without any.
    *
    * @param revision where the next watch starts
    */
-  record Changes<T>(List<Change<T>> changes, long revision) implements StoreAnswer<T> {}
+  record Changes<T>(List<Change<T>> changes, long revision) implements StoreResponse<T> {}
 
   /** The store has forgotten the history that a watch asked for. */
-  record HistoryGone<T>() implements StoreAnswer<T> {}
+  record HistoryExpired<T>() implements StoreResponse<T> {}
 
   /** The store did not answer, or refused. */
-  record Unavailable<T>(String reason) implements StoreAnswer<T> {}
+  record Unavailable<T>(String reason) implements StoreResponse<T> {}
 
   /** A change of one object. */
   sealed interface Change<T> {
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
@@ -14,19 +14,19 @@
 public final class StoreWatcher<T> {
   // Each call is billed, but a path that has gone silent only shows when a call is not answered in
   // time, and changes must be in force within seconds after it heals.
-  private static final Duration WAIT = Duration.ofMillis(2_500);
+  private static final Duration WATCH_WAIT = Duration.ofMillis(2_500);
   private static final Duration FIRST_BACKOFF = Duration.ofMillis(100);
-  private static final int MAX_DOUBLINGS = 3;
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
   private final TimerService timers;
   private final StoreReader<T> reader;
   private final StoreListener<T> listener;
   private final RandomGenerator random;
-  private List<StoredEntry<T>> pages = new ArrayList<>();
-  private List<String> unreadable = new ArrayList<>();
+  private List<StoredEntry<T>> listedEntries = new ArrayList<>();
+  private List<String> listedUnreadable = new ArrayList<>();
   private @Nullable Long revision;
-  private int failures;
-  private boolean wasReachable;
+  private int consecutiveFailures;
+  private boolean everReachable;
   private boolean stopped;
 
   /** Creates a watcher that does nothing before {@link #start}. */
@@ -53,10 +53,10 @@
 
   private void list(@Nullable String after) {
     if (after == null) {
-      pages = new ArrayList<>();
-      unreadable = new ArrayList<>();
+      listedEntries = new ArrayList<>();
+      listedUnreadable = new ArrayList<>();
     }
-    reader.list(after, this::answered);
+    reader.list(after, this::handleResponse);
   }
 
   private void watch() {
@@ -64,48 +64,48 @@
     if (from == null) {
       list(null);
     } else {
-      reader.watch(from, WAIT, this::answered);
+      reader.watch(from, WATCH_WAIT, this::handleResponse);
     }
   }
 
-  private void answered(StoreAnswer<T> answer) {
+  private void handleResponse(StoreResponse<T> answer) {
     if (stopped) {
       return;
     }
-    if (!(answer instanceof StoreAnswer.Unavailable<T>)) {
-      if (failures > 0 || !wasReachable) {
-        listener.reachable(wasReachable);
+    if (!(answer instanceof StoreResponse.Unavailable<T>)) {
+      if (consecutiveFailures > 0 || !everReachable) {
+        listener.reachable(everReachable);
       }
-      wasReachable = true;
-      failures = 0;
+      everReachable = true;
+      consecutiveFailures = 0;
     }
     switch (answer) {
-      case StoreAnswer.Page<T> page -> {
-        pages.addAll(page.entries());
-        unreadable.addAll(page.unreadable());
-        if (page.after() == null) {
+      case StoreResponse.Page<T> page -> {
+        listedEntries.addAll(page.entries());
+        listedUnreadable.addAll(page.unreadable());
+        if (page.nextPageAfter() == null) {
           revision = page.revision();
-          listener.listed(List.copyOf(pages), List.copyOf(unreadable));
+          listener.listed(List.copyOf(listedEntries), List.copyOf(listedUnreadable));
           watch();
         } else {
-          list(page.after());
+          list(page.nextPageAfter());
         }
       }
-      case StoreAnswer.Changes<T> changes -> {
+      case StoreResponse.Changes<T> changes -> {
         changes.changes().forEach(listener::changed);
         revision = changes.revision();
         watch();
       }
-      case StoreAnswer.HistoryGone<T> gone -> {
+      case StoreResponse.HistoryExpired<T> gone -> {
         revision = null;
         list(null);
       }
-      case StoreAnswer.Unavailable<T> u -> {
-        if (failures == 0) {
+      case StoreResponse.Unavailable<T> u -> {
+        if (consecutiveFailures == 0) {
           listener.unreachable(u.reason());
         }
-        long base = FIRST_BACKOFF.toNanos() << Math.min(MAX_DOUBLINGS, failures);
-        failures++;
+        long base = FIRST_BACKOFF.toNanos() << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures);
+        consecutiveFailures++;
         long delay = base / 2 + random.nextLong(base);
         timers.schedule(Duration.ofNanos(delay), this::watch);
       }
--- a/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
@@ -20,7 +20,7 @@
 import org.mustardlatch.core.model.ZoneId;
 import org.mustardlatch.gateway.config.CallerLimits;
 import org.mustardlatch.gateway.config.EngineStage;
-import org.mustardlatch.gateway.config.EngineTraits;
+import org.mustardlatch.gateway.config.EngineSpec;
 import org.mustardlatch.gateway.config.GatewayConfiguration;
 import org.mustardlatch.gateway.config.GatewayRoute;
 import org.mustardlatch.gateway.config.GatewayService;
@@ -94,7 +94,7 @@
             new GatewayService("app", null),
             new GatewayService(
                 "engine",
-                new EngineTraits(8, 32_000, 1000, Duration.ofMillis(500), Duration.ZERO))),
+                new EngineSpec(8, 32_000, 1000, Duration.ofMillis(500), Duration.ZERO))),
         CallerLimits.DEFAULT);
   }
 
--- a/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
@@ -37,23 +37,23 @@
     var s = new ServiceWeight("s", 1);
     var c = configuration(route("short", "/a/", s), route("long", "/a/b/", s));
 
-    assertThat(Objects.requireNonNull(c.route("host:80", "/a/b/c?x=/a/")).name()).isEqualTo("long");
-    assertThat(Objects.requireNonNull(c.route("host", "/a/bc")).name()).isEqualTo("short");
-    assertThat(c.route("other", "/a/b/")).isNull();
-    assertThat(c.route("host", "/ab/")).isNull();
+    assertThat(Objects.requireNonNull(c.findRoute("host:80", "/a/b/c?x=/a/")).name()).isEqualTo("long");
+    assertThat(Objects.requireNonNull(c.findRoute("host", "/a/bc")).name()).isEqualTo("short");
+    assertThat(c.findRoute("other", "/a/b/")).isNull();
+    assertThat(c.findRoute("host", "/ab/")).isNull();
   }
 
   @Test
   void dividesRequestsByWeight() {
     GatewayRoute r = route("r", "/", new ServiceWeight("s", 90), new ServiceWeight("t", 10));
 
-    assertThat(r.service(0.0)).isEqualTo("s");
-    assertThat(r.service(0.89)).isEqualTo("s");
-    assertThat(r.service(0.91)).isEqualTo("t");
+    assertThat(r.selectService(0.0)).isEqualTo("s");
+    assertThat(r.selectService(0.89)).isEqualTo("s");
+    assertThat(r.selectService(0.91)).isEqualTo("t");
   }
 
   @Test
-  void refusesARouteToAServiceThatIsNotListed() {
+  void rejectsARouteToAnUnlistedService() {
     GatewayRoute r = route("r", "/", new ServiceWeight("unknown", 1));
 
     assertThrows(IllegalArgumentException.class, () -> configuration(r));
--- a/gateway/src/test/java/org/mustardlatch/gateway/config/InstanceTableTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/config/InstanceTableTest.java
@@ -26,8 +26,8 @@
   }
 
   @Test
-  void removesAnEntryAtOnceWhileTheStoreIsCalm() {
-    table.storeAnswers(0, false);
+  void removesAnEntryImmediatelyWithoutARecentOutage() {
+    table.storeBecameReachable(0, false);
     table.replace(List.of(instance("x")), 0);
 
     table.remove("x", SECOND);
@@ -36,11 +36,11 @@
   }
 
   @Test
-  void keepsAnEntryThatLapsedInAnOutageUntilItsOwnerCouldRegisterAgain() {
-    table.storeAnswers(0, false);
+  void keepsAnEntryThatExpiredInAnOutageForTheReregistrationPeriod() {
+    table.storeBecameReachable(0, false);
     table.replace(List.of(instance("x"), instance("y")), 0);
-    table.storeLost();
-    table.storeAnswers(10 * SECOND, true);
+    table.storeBecameUnreachable();
+    table.storeBecameReachable(10 * SECOND, true);
 
     table.replace(List.of(instance("y")), 10 * SECOND);
     assertThat(table.get("x")).isNotNull();
@@ -51,11 +51,11 @@
   }
 
   @Test
-  void keepsAnEntryThatCameBackInTime() {
-    table.storeAnswers(0, false);
+  void keepsAnEntryThatWasRegisteredAgainInTime() {
+    table.storeBecameReachable(0, false);
     table.replace(List.of(instance("x")), 0);
-    table.storeLost();
-    table.storeAnswers(10 * SECOND, true);
+    table.storeBecameUnreachable();
+    table.storeBecameReachable(10 * SECOND, true);
     table.remove("x", 10 * SECOND);
 
     table.put(instance("x"));
--- a/gateway/src/test/java/org/mustardlatch/gateway/http/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/http/CallerConnectionTest.java
@@ -38,17 +38,17 @@
   }
 
   @Test
-  void breaksAnAnswerOffOnAConnectionThatIsBrokenAlready() {
+  void abortsAResponseOnABrokenConnection() {
     List<CallerExchange> taken = new ArrayList<>();
     CallerHandler handler =
         new CallerHandler() {
           @Override
-          public void request(CallerExchange exchange) {
+          public void requestReceived(CallerExchange exchange) {
             taken.add(exchange);
           }
 
           @Override
-          public void left(CallerExchange exchange) {}
+          public void callerDisconnected(CallerExchange exchange) {}
         };
     EventLoop loop = new DefaultEventLoop();
     var server =
