--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -161,7 +161,8 @@
       return;
     }
     updateAverageSize(request);
-    if (evidence.suspicionLevel(request.fingerprint(), commands.now()) == SuspicionLevel.QUARANTINED) {
+    if (evidence.suspicionLevel(request.fingerprint(), commands.now())
+        == SuspicionLevel.QUARANTINED) {
       refuse(request, ErrorCode.REQUEST_QUARANTINED, Duration.ZERO);
       return;
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -66,7 +66,9 @@
     for (RegionId other : topology.regions()) {
       if (!other.equals(region)) {
         for (Cell c : withoutRefused(topology.cells(model, other), refused)) {
-          if (eligible.test(c) && mayHaveCapacity(c, now) && !topology.admittingNodes(c).isEmpty()) {
+          if (eligible.test(c)
+              && mayHaveCapacity(c, now)
+              && !topology.admittingNodes(c).isEmpty()) {
             cells.add(c);
           }
         }
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -60,7 +60,8 @@
     this.incarnation = incarnation;
     this.commands = new CommandCollector(self);
     var environment = new CellAdmission.Environment(commands, random, evidence, settings);
-    this.evidenceCoordinator = new CrashEvidenceCoordinator(commands, evidence, topology, incarnation);
+    this.evidenceCoordinator =
+        new CrashEvidenceCoordinator(commands, evidence, topology, incarnation);
     this.admissionController =
         new AdmissionController(environment, evidenceCoordinator, leavingUpstreams, topology);
     this.requestCoordinator =
--- a/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
@@ -70,7 +70,8 @@
     }
   }
 
-  private boolean isOrphaned(ReportedAttempt attempt, RequestCoordinator coordinator, long incarnation) {
+  private boolean isOrphaned(
+      ReportedAttempt attempt, RequestCoordinator coordinator, long incarnation) {
     if (attempt.owner().equals(commands.self())) {
       return attempt.incarnation() < incarnation || !coordinator.hasLiveAttempt(attempt.attempt());
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -104,7 +104,8 @@
     starter.topologyChanged(next);
     cellChooser.retainCells(next);
     // A budget limit below one unit would never permit a retry.
-    retryBudget.setCapacity(Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
+    retryBudget.setCapacity(
+        Math.max(1, FLEET_RETRY_BUDGET / Math.max(MIN_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
       crossRegionPolicy.configure(manifest.link(), next.memberCountIn(region));
@@ -347,7 +348,8 @@
         "attempt " + a.id.number() + " on " + a.decodeEngine + ", " + q.tokensSent + " tokens";
     commands.explain(q.request.id(), "completed", detail);
     if (q.ranAsSuspect
-        || evidence.suspicionLevel(q.request.fingerprint(), commands.now()) == SuspicionLevel.SUSPECT) {
+        || evidence.suspicionLevel(q.request.fingerprint(), commands.now())
+            == SuspicionLevel.SUSPECT) {
       evidenceCoordinator.clearSuspect(q.request.fingerprint());
     }
     commands.emit(new RoutingCommand.Complete(q.request.id()));
--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -19,11 +19,11 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
 import org.mustardlatch.gateway.config.Instance;
+import org.mustardlatch.gateway.http.BufferedResponse;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallerExchange;
-import org.mustardlatch.gateway.http.BufferedResponseListener;
-import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
@@ -15,8 +15,8 @@
 import org.mustardlatch.gateway.http.UpstreamPool;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
-import org.mustardlatch.gateway.store.StoreResponse;
 import org.mustardlatch.gateway.store.StoreListener;
+import org.mustardlatch.gateway.store.StoreResponse;
 import org.mustardlatch.gateway.store.StoredEntry;
 
 /**
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -17,8 +17,8 @@
 import org.mustardlatch.core.routing.RoutingCommand;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
-import org.mustardlatch.gateway.http.CallerExchange;
 import org.mustardlatch.gateway.http.BufferedResponse;
+import org.mustardlatch.gateway.http.CallerExchange;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
@@ -11,10 +11,10 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.gateway.config.GatewayRoute;
 import org.mustardlatch.gateway.config.GatewayService;
+import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.http.CallRequest;
 import org.mustardlatch.gateway.http.CallerExchange;
 import org.mustardlatch.gateway.http.HopByHopHeaders;
-import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/CallerLimits.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/CallerLimits.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * What a caller may send.
+ * Size and time limits on the requests and connections of callers.
  *
- * @param maxHeaderBytes most bytes of request line and headers
- * @param maxBodyBytes most bytes of a request body
- * @param headerTimeout longest time from the first byte of a request to the end of its headers
- * @param idleTimeout longest time between two requests on a connection
+ * @param maxHeaderBytes maximum size of the request line and headers, in bytes
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param headerTimeout maximum time from the first byte of a request to the end of its headers
+ * @param idleTimeout maximum time between two requests on a connection
  */
 public record CallerLimits(
     int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
-  /** Limits until a configuration states others. */
+  /** Limits that apply until a configuration sets others. */
   public static final CallerLimits DEFAULT =
       new CallerLimits(16_384, 4_194_304, Duration.ofSeconds(3), Duration.ofSeconds(15));
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/EngineSpec.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/EngineSpec.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * What the configuration says of the engines of a service.
+ * The configured properties of the engines of a service.
  *
- * @param slots requests that an engine works on at a time
- * @param kvCapacityTokens tokens that fit into the KV memory of an engine
- * @param kvBytesPerToken size of the KV cache of a token, bytes
- * @param kvHandleTtl how long an exported KV cache is kept
- * @param maxReservationTtl how long an engine keeps room for a request that has not come; zero
- *     when it takes no reservations
+ * @param slots number of requests that an engine processes concurrently
+ * @param kvCapacityTokens number of tokens that fit into the KV cache memory of an engine
+ * @param kvBytesPerToken size of the KV cache of one token, in bytes
+ * @param kvHandleTtl time for which an engine retains an exported KV cache
+ * @param maxReservationTtl maximum time for which an engine keeps KV memory reserved for a request
+ *     that has not arrived; zero if it does not support reservations
  */
 public record EngineSpec(
     int slots,
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/EngineStage.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/EngineStage.java
@@ -1,6 +1,6 @@
 package org.mustardlatch.gateway.config;
 
-/** Which half of a generation an engine does. */
+/** The stage of a generation that an engine performs: prefill or decode. */
 public enum EngineStage {
   PREFILL,
   DECODE
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** One version of the routes and services in force. Immutable. */
+/** One version of the routes, services and caller limits of a gateway. Immutable. */
 public final class GatewayConfiguration {
   private final long version;
   private final Map<String, List<GatewayRoute>> routesByHost = new HashMap<>();
@@ -16,8 +16,8 @@
   /**
    * Creates a configuration.
    *
-   * @param version grows with every change
-   * @throws IllegalArgumentException if a route leads to a service that is not listed
+   * @param version increases with every change
+   * @throws IllegalArgumentException if a route refers to a service that is not in {@code services}
    */
   public GatewayConfiguration(
       long version, List<GatewayRoute> routes, List<GatewayService> services, CallerLimits limits) {
@@ -29,7 +29,7 @@
       for (ServiceWeight w : route.services()) {
         if (!this.services.containsKey(w.service())) {
           throw new IllegalArgumentException(
-              "route " + route.name() + " leads to unknown service " + w.service());
+              "route " + route.name() + " refers to unknown service " + w.service());
         }
       }
       byHost.computeIfAbsent(route.host(), h -> new ArrayList<>()).add(route);
@@ -37,12 +37,12 @@
     byHost.forEach((host, list) -> routesByHost.put(host, List.copyOf(list)));
   }
 
-  /** Returns the version. */
+  /** Returns the version, which increases with every change. */
   public long version() {
     return version;
   }
 
-  /** Returns what callers may send. */
+  /** Returns the limits on the requests and connections of callers. */
   public CallerLimits limits() {
     return limits;
   }
@@ -52,21 +52,21 @@
     return routesByHost.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Returns the names of all services. */
+  /** Returns all services. */
   public Iterable<GatewayService> services() {
     return services.values();
   }
 
-  /** Returns the service with this name, or null. */
+  /** Returns the service with the given name, or null if there is none. */
   public @Nullable GatewayService findService(String name) {
     return services.get(name);
   }
 
   /**
-   * Returns the route with the longest prefix of the path among those of the host, or null.
+   * Returns the route of the host whose path prefix is the longest match, or null if none matches.
    *
    * @param host value of the Host header; a port is ignored
-   * @param path path with or without a query
+   * @param path request path, with or without a query
    */
   public @Nullable GatewayRoute findRoute(String host, String path) {
     GatewayRoute best = null;
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayRoute.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayRoute.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * A route from a host and path prefix to services.
+ * A route that maps a host and path prefix to weighted services.
  *
  * @param name name of the route
  * @param host value of the Host header, without a port
  * @param pathPrefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeout longest time that a caller is kept waiting
- * @param latencyTarget time to the answer, or to the first event of a stream
- * @param eventGapTarget longest pause between events of a stream; zero when none is stated
- * @param services where requests go; at least one
- * @param maxAttempts most upstreams that one request may run on, at least 1
- * @param resumable whether another upstream may go on with a stream
+ * @param kind whether requests are idempotent, and whether responses are streams
+ * @param timeout maximum time that a caller waits for a response
+ * @param latencyTarget target time to the response, or to the first event of a stream
+ * @param eventGapTarget target for the longest gap between events of a stream; zero if none is
+ *     configured
+ * @param services services that receive the requests; at least one
+ * @param maxAttempts maximum number of upstreams that one request may run on, at least 1
+ * @param resumable whether another upstream may resume an interrupted stream
  */
 public record GatewayRoute(
     String name,
@@ -28,7 +29,7 @@
     List<ServiceWeight> services,
     int maxAttempts,
     boolean resumable) {
-  /** Copies the list and checks that a request can go somewhere. */
+  /** Copies the list and checks that there is at least one service and one attempt. */
   public GatewayRoute {
     services = List.copyOf(services);
     if (services.isEmpty()) {
@@ -39,25 +40,25 @@
     }
   }
 
-  /** Returns whether a request may run again after it may have run. */
+  /** Returns whether a request may be repeated after a previous attempt may have executed. */
   public boolean repeatable() {
     return kind == RequestKind.IDEMPOTENT || (kind == RequestKind.STREAMING && resumable);
   }
 
   /**
-   * Returns the service for a draw.
+   * Returns the service that a random number selects in proportion to the weights.
    *
-   * @param draw evenly distributed from 0 (inclusive) to 1 (exclusive)
+   * @param draw random number, uniformly distributed from 0 (inclusive) to 1 (exclusive)
    */
   public String selectService(double draw) {
     double total = 0;
     for (ServiceWeight w : services) {
       total += w.weight();
     }
-    double left = draw * total;
+    double remaining = draw * total;
     for (ServiceWeight w : services) {
-      left -= w.weight();
-      if (left < 0) {
+      remaining -= w.weight();
+      if (remaining < 0) {
         return w.service();
       }
     }
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/Instance.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/Instance.java
@@ -4,16 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One start of an upstream process.
+ * One run of an upstream process, identified by its id, start time and address.
  *
- * @param id name under which the upstream registered; two starts may share it
- * @param startedMillis when it started, Unix milliseconds; 0 when it does not say
- * @param service the service that it belongs to
- * @param address where it listens
+ * @param id name under which the upstream registered; a restarted process may use it again
+ * @param startedMillis start time in Unix milliseconds; 0 if not reported
+ * @param service name of the service that it belongs to
+ * @param address address on which it listens
  * @param zone its availability zone
- * @param slots requests that it works on at a time, at least 1
- * @param leaving whether it must get no new work
- * @param stage which half of a generation it does; null for an application upstream
+ * @param slots number of requests that it processes concurrently, at least 1
+ * @param leaving whether it is leaving (draining) and must get no new requests
+ * @param stage stage of a generation that it performs; null for an application upstream
  */
 public record Instance(
     String id,
@@ -24,7 +24,7 @@
     int slots,
     boolean leaving,
     @Nullable EngineStage stage) {
-  /** Returns whether both are the same start of the same process. */
+  /** Returns whether both entries describe the same run of the same process. */
   public boolean isSameProcess(Instance other) {
     return id.equals(other.id)
         && startedMillis == other.startedMillis
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
@@ -10,13 +10,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The registered upstreams, as far as this node knows. Entries that vanish because the store was
- * away are kept until their owners have had time to register again.
+ * The registered upstreams as last read from the store. Entries that disappear because the store
+ * was unreachable are kept until their owners have had time to register again.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class InstanceTable {
-  /** Time after the return of the store within which live upstreams register again. */
+  /** Time within which live upstreams register again after the store has become reachable. */
   public static final long REREGISTRATION_NANOS = 2_000_000_000L;
 
   private final Map<String, Instance> instances = new HashMap<>();
@@ -24,22 +24,28 @@
   private boolean storeUnreachable = true;
   private long storeRecoveredNanos = Long.MIN_VALUE;
 
-  /** Returns the upstreams in force. */
+  /** Returns all upstreams, including those that are kept after an outage of the store. */
   public Collection<Instance> all() {
     return instances.values();
   }
 
-  /** Returns the upstream with this id, or null. */
+  /** Returns the upstream with the given id, or null if there is none. */
   public @Nullable Instance get(String id) {
     return instances.get(id);
   }
 
-  /** Takes note that the store does not answer. */
+  /** Records that the store is unreachable. */
   public void storeBecameUnreachable() {
     storeUnreachable = true;
   }
 
-  /** Takes note that the store answers; {@code afterOutage} holds back removals for a while. */
+  /**
+   * Records that the store is reachable.
+   *
+   * @param now monotonic time in nanoseconds
+   * @param afterOutage whether the store was reachable before; if so, removals are delayed by
+   *     {@link #REREGISTRATION_NANOS}
+   */
   public void storeBecameReachable(long now, boolean afterOutage) {
     if (storeUnreachable && afterOutage) {
       storeRecoveredNanos = now;
@@ -47,7 +53,7 @@
     storeUnreachable = false;
   }
 
-  /** Replaces everything that is known by a complete list. */
+  /** Replaces the whole table by a complete list; see {@link #remove} for entries not listed. */
   public void replace(List<Instance> listed, long now) {
     Set<String> seen = new HashSet<>();
     for (Instance i : listed) {
@@ -61,13 +67,13 @@
     }
   }
 
-  /** Adds or changes an upstream. */
+  /** Adds or replaces an upstream, and cancels its delayed removal. */
   public void put(Instance instance) {
     removalDeadlines.remove(instance.id());
     instances.put(instance.id(), instance);
   }
 
-  /** Removes an upstream, later when the store has just come back. */
+  /** Removes an upstream; the removal is delayed if the store has just recovered from an outage. */
   public void remove(String id, long now) {
     if (!instances.containsKey(id)) {
       return;
@@ -80,13 +86,13 @@
     }
   }
 
-  /** Drops an upstream whose entry can no longer be read. */
+  /** Removes, without delay, an upstream whose entry has become unreadable. */
   public void discard(String id) {
     instances.remove(id);
     removalDeadlines.remove(id);
   }
 
-  /** Removes upstreams that did not register again in time; returns whether there were any. */
+  /** Removes upstreams that did not register again in time; returns whether any were removed. */
   public boolean expire(long now) {
     boolean changed = false;
     for (var e : new ArrayList<>(removalDeadlines.entrySet())) {
@@ -99,7 +105,7 @@
     return changed;
   }
 
-  /** Returns the time at which {@link #expire} has something to do, or null. */
+  /** Returns the monotonic time of the next delayed removal in nanoseconds, or null if none. */
   public @Nullable Long nextExpiryNanos() {
     return removalDeadlines.values().stream().min(Long::compare).orElse(null);
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/RequestKind.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/RequestKind.java
@@ -1,11 +1,11 @@
 package org.mustardlatch.gateway.config;
 
-/** What may be repeated about the requests of a route. */
+/** Whether the requests of a route may be repeated, and how they are answered. */
 public enum RequestKind {
-  /** May run more than once. */
+  /** A request may run more than once. */
   IDEMPOTENT,
-  /** Runs at most once for each request of a caller. */
+  /** A request must run at most once. */
   NON_IDEMPOTENT,
-  /** Answered by a series of events; may run again only where the route says so. */
+  /** The response is a stream of events; a request may run again only if the route is resumable. */
   STREAMING
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/ServiceWeight.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/ServiceWeight.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.gateway.config;
 
 /**
- * A service that gets a share of a route's requests.
+ * A service and its share of the requests of a route.
  *
  * @param service name of the service
- * @param weight its share in relation to the other weights of the route, at least 0
+ * @param weight its share relative to the other weights of the route, at least 0
  */
 public record ServiceWeight(String service, double weight) {}
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/package-info.java
@@ -1,4 +1,4 @@
-/** Routes, services and upstreams in force on a node. */
+/** The active routes and services of a node, and the registered upstreams. */
 @NullMarked
 package org.mustardlatch.gateway.config;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponse.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponse.java
@@ -4,19 +4,19 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.io.ByteArrayOutputStream;
 
-/** An answer of an upstream that is collected before it goes on. */
+/** A response of an upstream that is buffered in memory. */
 public final class BufferedResponse {
   private static final int FIRST_NON_SUCCESS_STATUS = 300;
 
   private final HttpResponse head;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  /** Creates an answer without a body. */
+  /** Creates a response without a body. */
   public BufferedResponse(HttpResponse head) {
     this.head = head;
   }
 
-  /** Copies a part of the body. */
+  /** Appends a copy of a part of the body. */
   public void append(ByteBuf part) {
     byte[] bytes = new byte[part.readableBytes()];
     part.readBytes(bytes);
@@ -33,12 +33,12 @@
     return head.status().code();
   }
 
-  /** Returns whether the status is no redirection and no failure. */
+  /** Returns whether the status is below 300, neither a redirection nor an error. */
   public boolean succeeded() {
     return status() < FIRST_NON_SUCCESS_STATUS;
   }
 
-  /** Returns the body collected so far. */
+  /** Returns the body received so far. */
   public byte[] body() {
     return body.toByteArray();
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Hears about a call whose answer is only used once it is whole. */
+/** Listener for a call whose response is only used once it is complete. */
 public abstract class BufferedResponseListener implements CallListener {
   private @Nullable BufferedResponse response;
 
-  /** Creates a listener that has heard nothing. */
+  /** Creates a listener without a response. */
   protected BufferedResponseListener() {}
 
-  /** Handles the whole answer. */
-  protected abstract void responseReceived(BufferedResponse answer);
+  /** Handles the complete response. */
+  protected abstract void responseReceived(BufferedResponse completeResponse);
 
   @Override
   public final void headReceived(HttpResponse head) {
@@ -31,6 +31,6 @@
   }
 
   private BufferedResponse requireResponse() {
-    return Objects.requireNonNull(response, "an answer begins with its head");
+    return Objects.requireNonNull(response, "body received before the head of the response");
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/Call.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/Call.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A call to an upstream in progress. */
+/** A call to an upstream: one request and its response. Used on the event loop only. */
 public final class Call {
   private final CallRequest request;
   private final CallListener listener;
@@ -35,7 +35,7 @@
     return done;
   }
 
-  /** Gives the answer up. Closes the connection, by which the upstream hears of it. */
+  /** Cancels the call and closes its connection, by which the upstream notices the cancellation. */
   public void cancel() {
     UpstreamConnection c = connection;
     markDone();
@@ -44,11 +44,11 @@
     }
   }
 
-  /** Stops or goes on reading the answer, so that a slow caller holds up its upstream. */
-  public void setAutoRead(boolean reading) {
+  /** Pauses or resumes reading the response, to apply back pressure from a slow caller. */
+  public void setAutoRead(boolean read) {
     UpstreamConnection c = connection;
     if (c != null) {
-      c.setAutoRead(reading);
+      c.setAutoRead(read);
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallFailure.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallFailure.java
@@ -1,11 +1,11 @@
 package org.mustardlatch.gateway.http;
 
-/** Why a call to an upstream ended without a whole answer. */
+/** Why a call to an upstream ended without a complete response. */
 public enum CallFailure {
-  /** No connection could be made; the upstream has not seen the request. */
+  /** The connection could not be established; the upstream has not received the request. */
   NOT_SENT,
-  /** The connection broke after the request may have been seen. */
+  /** The connection broke after the upstream may have received the request. */
   BROKEN,
-  /** The upstream sent bytes that are no answer. */
+  /** The upstream sent bytes that are not a valid HTTP response. */
   GARBLED
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
@@ -4,22 +4,22 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Hears about the answer to a call: one head, any number of body parts and the end, or a failure at
- * any point. Nothing is heard after the end, a failure or a cancel.
+ * Receives the response to a call: one head, any number of body parts and the end, or a failure at
+ * any point. No method is called after the end, a failure or a cancellation.
  */
 public interface CallListener {
-  /** The request is on its way on a connection. */
+  /** Called when the request has been written to a connection. */
   default void sent() {}
 
-  /** The status and the headers. */
+  /** Called with the status and the headers. */
   void headReceived(HttpResponse head);
 
-  /** A part of the body; the buffer is only valid during the call. */
+  /** Called for each part of the body; the buffer is only valid during the call. */
   void bodyReceived(ByteBuf part);
 
-  /** The answer is complete. */
+  /** Called when the response is complete. */
   void completed();
 
-  /** There will be no whole answer. */
+  /** Called when the call has failed and no complete response will follow. */
   void failed(CallFailure failure, String reason);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Predicate;
 
-/** A request to an upstream. */
+/** An HTTP request to an upstream with its whole body. */
 public final class CallRequest {
   private final HttpRequest head;
   private final byte[] body;
@@ -14,11 +14,12 @@
   /**
    * Creates a request.
    *
-   * @param head method, target and headers; the length of the body is set when it is sent
+   * @param head method, target and headers; the Content-Length is set when the request is sent
    * @param body the whole body; not copied
-   * @param repeatable whether it may be lost with a kept connection; other requests only use kept
-   *     connections that were in use a moment ago
-   * @param answers whether a response belongs to this request; others on the connection are skipped
+   * @param repeatable whether it may be sent again if a kept-alive connection turns out to be
+   *     closed; other requests only use kept-alive connections that were in use a moment ago
+   * @param answers tests whether a response belongs to this request; others on the connection are
+   *     skipped
    */
   public CallRequest(
       HttpRequest head, byte[] body, boolean repeatable, Predicate<HttpResponse> answers) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
@@ -37,9 +37,9 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** A caller's connection: one request at a time, those that follow wait. */
+/** A caller's connection. Requests are processed one at a time; pipelined requests are queued. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-  // Parts of requests that a caller sent ahead; beyond this its connection is not read.
+  // Decoded parts of pipelined requests; reading is paused while more than this are queued.
   private static final int MAX_QUEUED_PARTS = 64;
 
   private final CallerServer server;
@@ -141,15 +141,16 @@
     return !keepAlive || server.draining();
   }
 
-  void sendResponse(CallerExchange e, HttpResponseStatus status, HttpHeaders headers, byte[] content) {
+  void sendResponse(
+      CallerExchange e, HttpResponseStatus status, HttpHeaders headers, byte[] content) {
     HttpHeaders h = endToEndHeaders(headers);
     boolean bodiless =
         status.code() == 204 || status.code() == 304 || e.head().method().equals(HttpMethod.HEAD);
     if (status.code() != 204) {
-      String stated = headers.get(HttpHeaderNames.CONTENT_LENGTH);
+      String statedLength = headers.get(HttpHeaderNames.CONTENT_LENGTH);
       h.set(
           HttpHeaderNames.CONTENT_LENGTH,
-          bodiless && stated != null ? stated : String.valueOf(content.length));
+          bodiless && statedLength != null ? statedLength : String.valueOf(content.length));
     }
     boolean close = mustClose();
     if (close) {
@@ -200,7 +201,7 @@
   void abort() {
     closing = true;
     currentExchange = null;
-    // A reset, since an orderly close could be taken for the end of the answer.
+    // Close with a reset, since an orderly close could be taken for the end of the response.
     try {
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
     } catch (ChannelException e) {
@@ -222,7 +223,7 @@
     writabilityTask.run();
   }
 
-  /** Closes the connection if no request is in progress or half received. */
+  /** Closes the connection unless a request is in progress or partly received. */
   void closeIfIdle() {
     if (currentExchange == null && head == null && queuedParts.isEmpty()) {
       closing = true;
@@ -234,7 +235,8 @@
     stopIdleTimer();
     idleSinceNanos = server.now();
     Duration limit = server.limits().idleTimeout();
-    idleTimer = server.timers().schedule(limit.plus(CallerServer.IDLE_MARGIN), this::idleTimerFired);
+    idleTimer =
+        server.timers().schedule(limit.plus(CallerServer.IDLE_MARGIN), this::idleTimerFired);
   }
 
   private void idleTimerFired() {
@@ -267,11 +269,11 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    // A reset by the caller; channelInactive follows.
+    // The caller reset the connection; channelInactive follows.
     var unused = channel.close();
   }
 
-  /** Returns the headers without those that concern only one connection. */
+  /** Returns a copy of the headers without the hop-by-hop headers. */
   private static HttpHeaders endToEndHeaders(HttpHeaders headers) {
     HttpHeaders h = new DefaultHttpHeaders(false);
     h.add(headers);
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerExchange.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerExchange.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** One request of a caller and the way to answer it. */
+/** One request of a caller and its response. Used on the event loop only. */
 public final class CallerExchange {
   private final CallerConnection connection;
   private final HttpRequest head;
@@ -21,32 +21,32 @@
     this.receivedNanos = receivedNanos;
   }
 
-  /** Returns method, target and headers. */
+  /** Returns the method, target and headers of the request. */
   public HttpRequest head() {
     return head;
   }
 
-  /** Returns the whole body. */
+  /** Returns the whole body of the request. */
   public byte[] body() {
     return body;
   }
 
-  /** Returns the monotonic time at which the head of the request had arrived, nanoseconds. */
+  /** Returns the monotonic time at which the head of the request was received, in nanoseconds. */
   public long receivedNanos() {
     return receivedNanos;
   }
 
-  /** Returns whether the head of an answer was sent. */
+  /** Returns whether the head of a response was sent. */
   public boolean responseStarted() {
     return responseStarted;
   }
 
-  /** Returns whether it was answered, aborted, or its caller is gone. */
+  /** Returns whether the response was completed or aborted, or the caller has disconnected. */
   public boolean done() {
     return done;
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete response, unless one has been started. */
   public void sendResponse(HttpResponseStatus status, HttpHeaders headers, byte[] content) {
     if (!done && !responseStarted) {
       responseStarted = true;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Sends the head of an answer whose body follows in parts. */
+  /** Sends the head of a response whose body follows in parts. */
   public void beginResponse(HttpResponseStatus status, HttpHeaders headers) {
     if (!done && !responseStarted) {
       responseStarted = true;
@@ -63,14 +63,14 @@
     }
   }
 
-  /** Sends a part of the body; the buffer is copied. */
+  /** Sends a part of the response body; the buffer is copied. */
   public void sendBodyPart(ByteBuf part) {
     if (!done) {
       connection.sendBodyPart(part);
     }
   }
 
-  /** Ends an answer that was begun. */
+  /** Ends a response that was started by {@link #beginResponse}. */
   public void endResponse() {
     if (!done) {
       done = true;
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Breaks the answer off so that it can't be taken for complete. */
+  /** Resets the connection, so that the caller can't take a partial response for a complete one. */
   public void abort() {
     if (!done) {
       done = true;
@@ -86,12 +86,12 @@
     }
   }
 
-  /** Returns whether the caller takes more bytes at this moment. */
+  /** Returns whether more bytes can be written without exceeding the outbound buffer. */
   public boolean writable() {
     return connection.writable();
   }
 
-  /** Calls a task whenever {@link #writable} changes. */
+  /** Sets the task that runs whenever {@link #writable} changes, until the exchange ends. */
   public void onWritabilityChange(Runnable task) {
     connection.onWritabilityChange(task);
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerHandler.java
@@ -1,13 +1,13 @@
 package org.mustardlatch.gateway.http;
 
-/** Takes requests of callers. */
+/** Handles the requests of callers. Called on the event loop. */
 public interface CallerHandler {
   /**
-   * Takes a whole request. The exchange must get exactly one answer or be aborted, unless its
-   * caller leaves first.
+   * Called when a whole request has been received. The exchange must get exactly one response or be
+   * aborted, unless the caller disconnects first.
    */
   void requestReceived(CallerExchange exchange);
 
-  /** The caller of an unanswered request is gone. */
+  /** Called when a caller has disconnected before the end of the response. */
   void callerDisconnected(CallerExchange exchange);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
@@ -17,12 +17,15 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.gateway.config.CallerLimits;
 
-/** Listens for callers. All of its work is done on one event loop. */
+/** HTTP server for callers. All of its work is done on one event loop. */
 public final class CallerServer {
-  /** Idle connections live a little longer than callers are told, so that theirs is the close. */
+  /**
+   * Idle connections stay open longer than the idle timeout by this, so that callers close first.
+   */
   static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
-  // Connections that wait while the event loop is paused; a full queue leads to resets.
+  // Connections that the kernel queues while the event loop is paused; a full queue leads to
+  // resets.
   private static final int BACKLOG = 512;
 
   private final EventLoop loop;
@@ -34,7 +37,7 @@
   private @Nullable Channel listener;
   private boolean draining;
 
-  /** Creates a server that does not listen yet. */
+  /** Creates a server that does not listen before {@link #start}. */
   public CallerServer(
       EventLoop loop,
       TimerService timers,
@@ -48,7 +51,7 @@
     this.limits = limits;
   }
 
-  /** Listens; throws {@link java.net.BindException} wrapped by Netty when it can't. */
+  /** Starts to listen; throws a {@link java.net.BindException}, wrapped by Netty, on failure. */
   public void start() {
     ServerBootstrap b =
         new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class);
@@ -72,18 +75,20 @@
     b.childOption((ChannelOption<Object>) option, value);
   }
 
-  /** Returns the address that it listens on, with the port that was chosen for port 0. */
+  /**
+   * Returns the address on which the server listens, with the actual port if port 0 was requested.
+   */
   public InetSocketAddress address() {
     Channel l = listener;
     return l == null ? address : (InetSocketAddress) l.localAddress();
   }
 
-  /** Asks callers to leave: every answer from now on closes its connection. */
+  /** Starts draining: from now on, every response closes its connection. */
   public void drain() {
     draining = true;
   }
 
-  /** Accepts no more connections and closes those without a request. */
+  /** Stops accepting connections and closes those without a request in progress. */
   public void closeIdle() {
     if (listener != null) {
       var unused = listener.close();
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/ChannelOptions.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/ChannelOptions.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import jdk.net.ExtendedSocketOptions;
 
-/** Socket options of all connections. */
+/** Socket options that apply to all connections. */
 final class ChannelOptions {
-  // A connection can go silent for good while its peer lives; probes find that within about 3 s.
+  // A connection can stop delivering data while its peer is alive; probes detect that in about 3 s.
   private static final int KEEP_ALIVE_IDLE_S = 1;
   private static final int KEEP_ALIVE_INTERVAL_S = 1;
   private static final int KEEP_ALIVE_PROBES = 2;
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/HopByHopHeaders.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/HopByHopHeaders.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Headers that concern one connection (RFC 9110, section 7.6.1). */
+/** Removes hop-by-hop headers, which apply to one connection only (RFC 9110, section 7.6.1). */
 public final class HopByHopHeaders {
   private static final List<String> NAMES =
       List.of(
@@ -21,7 +21,7 @@
 
   private HopByHopHeaders() {}
 
-  /** Removes these headers and those that the Connection header names. */
+  /** Removes the hop-by-hop headers, including those named by the Connection header. */
   public static void strip(HttpHeaders headers) {
     for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
       for (String name : value.split(",", -1)) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
@@ -9,11 +9,11 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The timer service of the data path: tasks run on the thread that also handles connections. */
+/** Timer service that runs its tasks on the event loop that also handles connections. */
 public final class NettyTimerService implements TimerService {
   private final EventExecutor loop;
 
-  /** Creates a service on an event loop. */
+  /** Creates a service that runs its tasks on the given event loop. */
   public NettyTimerService(EventExecutor loop) {
     this.loop = loop;
   }
@@ -38,7 +38,7 @@
     return () -> f.cancel(false);
   }
 
-  /** An exception must not end a repeated task, so it is logged here. */
+  /** Wraps a task to log its exceptions, since an uncaught one would end a repeated task. */
   private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/RequestDecoder.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/RequestDecoder.java
@@ -4,13 +4,13 @@
 import io.netty.handler.codec.http.HttpObjectDecoder;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Decodes requests and refuses those whose framing has two readings. */
+/** Decodes requests and rejects those with ambiguous framing. */
 final class RequestDecoder extends HttpRequestDecoder {
   RequestDecoder(int maxHeaderBytes) {
     super(maxHeaderBytes, maxHeaderBytes, 8 * HttpObjectDecoder.DEFAULT_MAX_CHUNK_SIZE);
   }
 
-  /** Rejects a length beside chunks, by which a second request could be smuggled in. */
+  /** Rejects a Content-Length with a chunked body, which would allow request smuggling. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
@@ -20,9 +20,9 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** A connection to an upstream, which carries one call at a time. */
+/** A connection to an upstream that carries one call at a time. */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-  /** A keep-alive time that an upstream did not state. */
+  /** Keep-alive timeout that is assumed if the upstream states none. */
   private static final Duration DEFAULT_KEEP_ALIVE = Duration.ofSeconds(4);
 
   private final UpstreamPool pool;
@@ -43,12 +43,14 @@
     this.decoder = decoder;
   }
 
-  /** Returns whether a call may use this idle connection. */
+  /** Returns whether a call may use this idle connection, given the current time in nanoseconds. */
   boolean usable(boolean repeatable, long now) {
     long idle = now - idleSinceNanos;
-    // The upstream closes at its own time, and the news of it takes a moment.
+    // The upstream closes by its own clock, and the close takes time to arrive.
     long limit =
-        repeatable ? keepAliveNanos * 3 / 4 : Math.min(keepAliveNanos / 4, pool.maxIdleNanosForNonRepeatable());
+        repeatable
+            ? keepAliveNanos * 3 / 4
+            : Math.min(keepAliveNanos / 4, pool.maxIdleNanosForNonRepeatable());
     return channel.isActive() && !broken && idle < limit;
   }
 
@@ -95,18 +97,18 @@
   private void handleHead(HttpResponse r) {
     Call c = call;
     if (r.decoderResult().isFailure()) {
-      failCall(CallFailure.GARBLED, "no HTTP response");
+      failCall(CallFailure.GARBLED, "not an HTTP response");
       return;
     }
     if (c == null) {
-      // Bytes that belong to no request.
+      // The response belongs to no request.
       close();
       return;
     }
     boolean interim = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     skippingResponse = interim || !c.request().matches(r);
     if (skippingResponse) {
-      // The connection has carried an answer of another request; it is not used again.
+      // The connection carried a response to another request, so it is not reused.
       closeAfterResponse |= !interim;
       return;
     }
@@ -130,7 +132,7 @@
         try {
           keepAliveNanos = Duration.ofSeconds(Long.parseLong(p.substring(8).strip())).toNanos();
         } catch (NumberFormatException e) {
-          // An unreadable hint leaves the default, which is short.
+          // An invalid value falls back to the default, which is short.
           keepAliveNanos = DEFAULT_KEEP_ALIVE.toNanos();
         }
       }
@@ -143,7 +145,7 @@
       return;
     }
     if (content.decoderResult().isFailure()) {
-      failCall(CallFailure.GARBLED, "broken body");
+      failCall(CallFailure.GARBLED, "malformed response body");
       return;
     }
     if (skippingResponse) {
@@ -164,12 +166,12 @@
   private void completeCall(Call c) {
     call = null;
     ChannelFuture w = requestWritten;
-    // A request that the upstream has not read to its end must not be mixed with the next one.
-    boolean keep = !closeAfterResponse && w != null && w.isSuccess() && channel.isActive();
+    // A request that is not fully written must not be mixed with the next one.
+    boolean reusable = !closeAfterResponse && w != null && w.isSuccess() && channel.isActive();
     idleSinceNanos = pool.now();
     setAutoRead(true);
     c.markDone();
-    if (keep) {
+    if (reusable) {
       pool.idleConnections(this);
     } else {
       close();
@@ -197,7 +199,7 @@
     failCall(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
   }
 
-  /** Decodes responses without pairing them with requests, which stray answers would break. */
+  /** Decodes responses without pairing them with requests, since stray responses would break it. */
   static final class ResponseDecoder extends io.netty.handler.codec.http.HttpResponseDecoder {
     private boolean noBody;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -14,7 +14,7 @@
 import java.util.Deque;
 import org.mustardlatch.core.time.MonotonicClock;
 
-/** Connections to one start of one upstream. */
+/** Pool of connections to one run of one upstream. Used on the event loop only. */
 public final class UpstreamPool {
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -27,9 +27,9 @@
   /**
    * Creates a pool without connections.
    *
-   * @param connectTimeout longest time for a new connection
-   * @param fresh longest idle time of a kept connection that may carry a request that must not be
-   *     repeated
+   * @param connectTimeout maximum time to establish a connection
+   * @param fresh maximum idle time of a kept-alive connection that may carry a request that must
+   *     not be repeated
    */
   public UpstreamPool(
       EventLoop loop,
@@ -52,11 +52,13 @@
     return maxIdleForNonRepeatable.toNanos();
   }
 
-  /** Sends a request; the listener hears of its answer. */
+  /** Sends a request; the listener receives the response. */
   public Call send(CallRequest request, CallListener listener) {
     Call call = new Call(request, listener);
     long now = clock.nanos();
-    for (UpstreamConnection c = idleConnections.pollLast(); c != null; c = idleConnections.pollLast()) {
+    for (UpstreamConnection c = idleConnections.pollLast();
+        c != null;
+        c = idleConnections.pollLast()) {
       if (c.usable(request.repeatable(), now)) {
         start(call, c);
         return call;
@@ -118,7 +120,7 @@
     idleConnections.remove(c);
   }
 
-  /** Closes idle connections; those in use close at the end of their call. */
+  /** Closes idle connections; those in use are closed at the end of their call. */
   public void close() {
     closed = true;
     idleConnections.forEach(UpstreamConnection::close);
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/BoundedConsoleWriter.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/BoundedConsoleWriter.java
@@ -17,11 +17,12 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes the log to standard output from a thread of its own. A reader that has stopped never
- * blocks the process: lines beyond the capacity are dropped, and a line tells how many.
+ * tinylog writer that writes to standard output from its own thread. A stalled reader of standard
+ * output never blocks the process: lines beyond the capacity are dropped, and their number is
+ * logged.
  */
 public final class BoundedConsoleWriter implements Writer {
-  // About a second of the heaviest traffic of a node.
+  // Lines; about one second of log output of a node at its highest load.
   private static final int CAPACITY = 4096;
   private static final int MAX_BATCH = 256;
 
@@ -30,7 +31,9 @@
   private final FileOutputStream out = new FileOutputStream(FileDescriptor.out);
   private final Object writeLock = new Object();
 
-  /** Creates a writer; called by tinylog with the properties of the writer. */
+  /**
+   * Creates a writer and starts its thread; called by tinylog with the properties of the writer.
+   */
   public BoundedConsoleWriter(Map<String, String> properties) {
     Thread.ofPlatform().daemon().name("log").start(this::writeForever);
   }
@@ -78,15 +81,15 @@
     if (line != null) {
       batch.append(line);
     }
-    long lost = dropped.getAndSet(0);
-    if (lost > 0) {
-      batch.append("log lines dropped=").append(lost).append('\n');
+    long droppedLines = dropped.getAndSet(0);
+    if (droppedLines > 0) {
+      batch.append("log lines dropped=").append(droppedLines).append('\n');
     }
     synchronized (writeLock) {
       try {
         out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
       } catch (IOException e) {
-        // Standard output is closed; there is nowhere left to report it.
+        // Standard output is closed, so the error can't be reported.
         dropped.addAndGet(1);
       }
     }
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/EventLog.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/EventLog.java
@@ -9,8 +9,8 @@
   /**
    * Writes one event.
    *
-   * @param event which event
-   * @param arguments fill the braces of the event's pattern in order
+   * @param event the event to log
+   * @param arguments values for the placeholders of the event's pattern, in order
    */
   public static void log(LogEvent event, Object... arguments) {
     String message = "ML-" + event.number() + " " + event.pattern();
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/LogEvent.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/LogEvent.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.gateway.log;
 
 /**
- * Numbered events of the log. docs/EVENTS.md gives the meaning of each and what an operator should
- * do. Numbers are never reused. Ranges: 1000 daemon, 2000 routing, 3000 peers, 4000 manifest, 5000
- * object service and ledger, 6000 upstreams, 7000 callers, 8000 the data path of the gateway.
+ * Numbered log events. docs/EVENTS.md explains each event and the action for an operator. Numbers
+ * are never reused. Ranges: 1000 daemon, 2000 routing, 3000 peers, 4000 manifest, 5000 object
+ * service and ledger, 6000 upstreams, 7000 callers, 8000 the data path of the gateway.
  */
 public enum LogEvent {
   DAEMON_STARTING(1001, Level.INFO, "host {} starts in zone {} with incarnation {}"),
@@ -61,7 +61,7 @@
       "request={} events={} first_event_ms={} longest_pause_ms={} longest_pause_after={}"),
   CALLER_CONNECTION_BROKEN(8032, Level.INFO, "caller connection was broken already reason={}"),
   OBJECT_UNREADABLE(8019, Level.WARN, "object kind={} name={} unreadable reason={}"),
-  SETTINGS_CHANGED(8029, Level.INFO, "reload asked for; settings are read at the next start"),
+  SETTINGS_CHANGED(8029, Level.INFO, "reload requested; settings are read at the next start"),
   KV_NOT_FREED(8028, Level.WARN, "kv={} upstream={} not freed reason={}");
 
   private final int number;
@@ -84,12 +84,12 @@
     return level;
   }
 
-  /** Returns the message, with a pair of braces for each argument. */
+  /** Returns the message pattern, with a pair of braces for each argument. */
   public String pattern() {
     return pattern;
   }
 
-  /** Severity of an event. */
+  /** The severity of an event. */
   public enum Level {
     INFO,
     WARN,
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/package-info.java
@@ -1,4 +1,4 @@
-/** Numbered log events; docs/EVENTS.md is their catalogue. */
+/** Numbered log events, listed in docs/EVENTS.md, and the log writer. */
 @NullMarked
 package org.mustardlatch.gateway.log;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
@@ -21,7 +21,7 @@
 import org.mustardlatch.gateway.store.HttpStoreReader;
 import org.mustardlatch.gateway.store.StoreWatcher;
 
-/** All parts of a node on a platform; everything runs on one event loop. */
+/** A node that runs on a platform: wires its components, which all run on one event loop. */
 public final class GatewayNode {
   private static final Duration STORE_CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
@@ -32,7 +32,7 @@
   private final StoreWatcher<GatewayConfiguration> configurations;
   private final StoreWatcher<Instance> instances;
 
-  /** Creates a node that does not run yet. */
+  /** Creates a node that does not run before {@link #start}. */
   public GatewayNode(PlatformComponents ports) {
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
@@ -41,7 +41,7 @@
         new SplittableRandom(System.nanoTime() ^ ports.settings().host().hashCode());
     FleetState fleet = new FleetState(loop, timers);
     GatewaySettings settings = ports.settings();
-    // Processes of a host start one after another, so the time of day tells them apart.
+    // Processes of a host start one after another, so the wall-clock time distinguishes them.
     long incarnation = System.currentTimeMillis();
     InetSocketAddress peerAddress = settings.peerAddress();
     peers =
@@ -65,7 +65,7 @@
             random);
   }
 
-  /** Listens and begins to read the store. */
+  /** Starts to listen and to read the store. */
   public void start() {
     gateway.start();
     loop.execute(
@@ -75,17 +75,17 @@
         });
   }
 
-  /** Stops taking new work; returns at once. */
+  /** Starts draining: the node accepts no new requests. Returns immediately. */
   public void drain() {
     loop.execute(gateway::drain);
   }
 
-  /** Waits until a drain has ended. */
+  /** Waits until draining has completed. */
   public void awaitDrained() throws InterruptedException {
     gateway.awaitDrained();
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and stops the event loop. */
   public void stop() {
     peers.stop();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/NetworkPeers.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/NetworkPeers.java
@@ -22,16 +22,19 @@
 import org.mustardlatch.wire.PeerNodeListener;
 import org.mustardlatch.wire.PeerNodeOptions;
 
-/** The peers of a node over the fleet's own protocol. */
+/**
+ * Connects a node with its peers over the peer protocol of the fleet, and passes the events of the
+ * peer node to the event loop.
+ */
 final class NetworkPeers implements Peers, PeerNodeListener {
   private final PeerNode node;
   private final Executor loop;
   private Consumer<RoutingEvent> events = e -> {};
 
   /**
-   * Creates a link that does nothing before {@link #start}.
+   * Creates the connection to the peers, which does nothing before {@link #start}.
    *
-   * @param bind where this node listens for its peers
+   * @param bind address on which this node listens for its peers
    * @param incarnation greater than those of earlier processes of this host
    */
   NetworkPeers(
@@ -55,7 +58,7 @@
                 settings.peerSeeds(),
                 null,
                 group,
-                // The platform hands out no certificates and closes its network to others.
+                // The platform provides no certificates; its network is closed to others.
                 true),
             timers,
             random,
@@ -114,7 +117,7 @@
 
   @Override
   public boolean apply(long revision, String text) {
-    // The platform's store holds the configuration; nodes do not pass one on.
+    // The platform's store holds the configuration; nodes do not distribute it.
     return false;
   }
 
@@ -133,7 +136,7 @@
       case AdmissionMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
       case EvidenceMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
-        // The node itself takes the rest.
+        // The peer node itself handles all other messages.
       }
     }
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/NodeAdapter.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/NodeAdapter.java
@@ -1,16 +1,16 @@
 package org.mustardlatch.gateway.node;
 
-/** Connects a node with a platform; found by {@link java.util.ServiceLoader}. */
+/** Adapts a node to a platform; found by {@link java.util.ServiceLoader}. */
 public interface NodeAdapter {
   /** Returns whether a settings file is in the format of this platform. */
   boolean recognises(String settings);
 
   /**
-   * Reads a settings file.
+   * Parses a settings file and creates the components that depend on the platform.
    *
-   * @param file its name, for messages
-   * @param settings its text
-   * @throws org.mustardlatch.core.error.MustardlatchException if it can't be used
+   * @param file name of the file, for error messages
+   * @param settings text of the file
+   * @throws org.mustardlatch.core.error.MustardlatchException if the settings are invalid
    */
   PlatformComponents createComponents(String file, String settings);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/PlatformComponents.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/PlatformComponents.java
@@ -8,13 +8,13 @@
 import org.mustardlatch.gateway.store.StoreCodec;
 
 /**
- * What a node needs of its platform.
+ * The settings, protocol and store access that a platform provides to a node.
  *
- * @param settings what this node is told at its start
- * @param store where the platform's store listens
- * @param protocol the headers of callers and upstreams
- * @param configuration how the configuration is stored
- * @param instances how upstreams register
+ * @param settings settings of this node, read at its start
+ * @param store address of the platform's store
+ * @param protocol encodes and decodes the headers of callers and upstreams
+ * @param configuration codec of the stored configuration
+ * @param instances codec of the entries by which upstreams register
  */
 public record PlatformComponents(
     GatewaySettings settings,
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
@@ -5,17 +5,17 @@
 import org.mustardlatch.core.error.MustardlatchException;
 
 /**
- * Signals of the operating system. The JDK's only interface to them is internal, and the compiler's
- * warning about it can't be switched off, so it is called by reflection.
+ * Handles signals of the operating system. The JDK's only API for them is internal, and the
+ * compiler's warning about its use can't be suppressed, so it is called by reflection.
  */
 public final class Signals {
   private Signals() {}
 
   /**
-   * Calls a task for every signal of a kind, instead of ending the process.
+   * Runs a task for each signal of the given name, instead of the default action.
    *
-   * @param name without the prefix SIG, for example {@code HUP}
-   * @throws MustardlatchException if this JDK does not offer signals
+   * @param name signal name without the prefix SIG, for example {@code HUP}
+   * @throws MustardlatchException if this JDK does not support signal handlers
    */
   public static void handle(String name, Runnable task) {
     try {
@@ -33,7 +33,8 @@
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
     } catch (ReflectiveOperationException e) {
-      throw new MustardlatchException(ErrorCode.INTERNAL, "no signals in this JDK: " + e);
+      throw new MustardlatchException(
+          ErrorCode.INTERNAL, "this JDK does not support signal handlers: " + e);
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/package-info.java
@@ -1,4 +1,6 @@
-/** A process that runs the data path on a platform. */
+/**
+ * A node that runs the data path of the gateway on a platform, and the interface to that platform.
+ */
 @NullMarked
 package org.mustardlatch.gateway.node;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
@@ -7,16 +7,16 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
+import org.mustardlatch.gateway.http.BufferedResponse;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallRequest;
-import org.mustardlatch.gateway.http.BufferedResponseListener;
-import org.mustardlatch.gateway.http.BufferedResponse;
 import org.mustardlatch.gateway.http.UpstreamPool;
 
-/** Reads objects of one kind over HTTP. */
+/** Reads objects of one kind from the platform's store over HTTP. */
 public final class HttpStoreReader<T> implements StoreReader<T> {
-  // A store that answers in milliseconds is taken for unreachable after this.
+  // The store normally responds in milliseconds; after this time it is taken for unreachable.
   private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
   private final TimerService timers;
@@ -31,40 +31,46 @@
   }
 
   @Override
-  public void list(@Nullable String after, Consumer<StoreResponse<T>> answer) {
-    send(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, answer);
+  public void list(@Nullable String after, Consumer<StoreResponse<T>> consumer) {
+    send(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, consumer);
   }
 
   @Override
-  public void watch(long revision, Duration wait, Consumer<StoreResponse<T>> answer) {
-    send(codec.watchRequest(revision, wait), wait.plus(RESPONSE_TIMEOUT), codec::decodeWatch, answer);
+  public void watch(long revision, Duration wait, Consumer<StoreResponse<T>> consumer) {
+    send(
+        codec.watchRequest(revision, wait),
+        wait.plus(RESPONSE_TIMEOUT),
+        codec::decodeWatch,
+        consumer);
   }
 
   private void send(
       HttpRequest request,
       Duration timeout,
       BiFunction<Integer, byte[], StoreResponse<T>> decoder,
-      Consumer<StoreResponse<T>> answer) {
-    var listener = new PendingRead(decoder, answer);
+      Consumer<StoreResponse<T>> consumer) {
+    var listener = new PendingRead(decoder, consumer);
     listener.timer = timers.schedule(timeout, listener::timedOut);
     listener.call = pool.send(new CallRequest(request, new byte[0], true, r -> true), listener);
   }
 
-  /** Collects one answer. */
+  /** A read in progress; passes on its response, or a failure, exactly once. */
   private final class PendingRead extends BufferedResponseListener {
     private final BiFunction<Integer, byte[], StoreResponse<T>> decoder;
-    private final Consumer<StoreResponse<T>> answer;
+    private final Consumer<StoreResponse<T>> consumer;
     private @Nullable Call call;
     private @Nullable TimerSubscription timer;
 
-    PendingRead(BiFunction<Integer, byte[], StoreResponse<T>> decoder, Consumer<StoreResponse<T>> answer) {
+    PendingRead(
+        BiFunction<Integer, byte[], StoreResponse<T>> decoder,
+        Consumer<StoreResponse<T>> consumer) {
       this.decoder = decoder;
-      this.answer = answer;
+      this.consumer = consumer;
     }
 
     @Override
-    protected void responseReceived(BufferedResponse whole) {
-      finish(decoder.apply(whole.status(), whole.body()));
+    protected void responseReceived(BufferedResponse response) {
+      finish(decoder.apply(response.status(), response.body()));
     }
 
     @Override
@@ -76,15 +82,15 @@
       if (call != null) {
         call.cancel();
       }
-      finish(new StoreResponse.Unavailable<>("no answer in time"));
+      finish(new StoreResponse.Unavailable<>("no response in time"));
     }
 
     private void finish(StoreResponse<T> result) {
       if (timer != null) {
         timer.cancel();
       }
-      // The next call must not start inside of the connection's handling of this one.
-      timers.schedule(Duration.ZERO, () -> answer.accept(result));
+      // The consumer may start the next call, which must not run inside the connection's handler.
+      timers.schedule(Duration.ZERO, () -> consumer.accept(result));
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
@@ -4,17 +4,20 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** How reads of objects of one kind look on the wire of a platform's store. */
+/** Encodes reads of objects of one kind for a platform's store, and decodes the responses. */
 public interface StoreCodec<T> {
-  /** Returns the request for a list, from the first object or after a name. */
+  /**
+   * Returns the request for a list that starts after the given name, or at the first object if
+   * null.
+   */
   HttpRequest listRequest(@Nullable String after);
 
   /** Returns the request that waits for changes after a revision. */
   HttpRequest watchRequest(long revision, Duration wait);
 
-  /** Reads the answer to a list; what can't be read is {@link StoreResponse.Unavailable}. */
+  /** Decodes the response to a list; an invalid one becomes {@link StoreResponse.Unavailable}. */
   StoreResponse<T> decodeList(int status, byte[] body);
 
-  /** Reads the answer to a watch; what can't be read is {@link StoreResponse.Unavailable}. */
+  /** Decodes the response to a watch; an invalid one becomes {@link StoreResponse.Unavailable}. */
   StoreResponse<T> decodeWatch(int status, byte[] body);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreListener.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** Hears what a watch of the store brings. */
+/** Receives the objects and changes that a {@link StoreWatcher} reads from the store. */
 public interface StoreListener<T> {
-  /** All objects, after the start and after a gap in the history. */
+  /** Called with all objects, at the start and after a gap in the history. */
   void listed(List<StoredEntry<T>> entries, List<String> unreadable);
 
-  /** One change. */
+  /** Called for each change, in order. */
   void changed(StoreResponse.Change<T> change);
 
-  /** The store answers; called before what it brings. */
+  /** Called when the store has become reachable, before the objects or changes that it returned. */
   void reachable(boolean afterOutage);
 
-  /** The store does not answer. */
+  /** Called when the store has become unreachable. */
   void unreachable(String reason);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreReader.java
@@ -5,18 +5,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads objects of one kind from the platform's store. Answers arrive on the thread of the caller's
- * timer service, exactly one for each call.
+ * Reads objects of one kind from the platform's store. Each call gets exactly one response, on the
+ * thread of the timer service.
  */
 public interface StoreReader<T> {
-  /** Lists objects, from the first one or after a name. */
-  void list(@Nullable String after, Consumer<StoreResponse<T>> answer);
+  /** Lists the objects after the given name, or from the first one if it is null. */
+  void list(@Nullable String after, Consumer<StoreResponse<T>> consumer);
 
   /**
-   * Waits for changes.
+   * Waits for changes after a revision.
    *
-   * @param revision changes after this one are wanted
-   * @param wait how long the store may keep the call waiting
+   * @param revision revision after which changes are returned
+   * @param wait maximum time for which the store may delay its response
    */
-  void watch(long revision, Duration wait, Consumer<StoreResponse<T>> answer);
+  void watch(long revision, Duration wait, Consumer<StoreResponse<T>> consumer);
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreResponse.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreResponse.java
@@ -3,31 +3,34 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** What a store answers to a read. */
+/** The response of a store to a read. */
 public sealed interface StoreResponse<T> {
   /**
    * A page of a list.
    *
-   * @param entries readable objects
-   * @param unreadable names of objects whose content can't be used
-   * @param nextPageAfter where the next page starts; null on the last one
-   * @param revision revision of the store
+   * @param entries objects that could be decoded
+   * @param unreadable names of objects whose content could not be decoded
+   * @param nextPageAfter name after which the next page starts; null on the last page
+   * @param revision revision of the store at the time of the read
    */
   record Page<T>(
-      List<StoredEntry<T>> entries, List<String> unreadable, @Nullable String nextPageAfter, long revision)
+      List<StoredEntry<T>> entries,
+      List<String> unreadable,
+      @Nullable String nextPageAfter,
+      long revision)
       implements StoreResponse<T> {}
 
   /**
-   * Changes in the order in which they were made; empty when a watch ended without any.
+   * Changes in the order in which they were made; empty if a watch ended without any.
    *
-   * @param revision where the next watch starts
+   * @param revision revision from which the next watch starts
    */
   record Changes<T>(List<Change<T>> changes, long revision) implements StoreResponse<T> {}
 
-  /** The store has forgotten the history that a watch asked for. */
+  /** The store no longer has the history that a watch requested. */
   record HistoryExpired<T>() implements StoreResponse<T> {}
 
-  /** The store did not answer, or refused. */
+  /** The store did not respond, refused the read, or sent an unreadable response. */
   record Unavailable<T>(String reason) implements StoreResponse<T> {}
 
   /** A change of one object. */
@@ -35,7 +38,7 @@
     /** An object was created or replaced. */
     record Put<T>(StoredEntry<T> entry) implements Change<T> {}
 
-    /** An object was replaced by content that can't be used. */
+    /** An object was created or replaced with content that could not be decoded. */
     record Unreadable<T>(String name) implements Change<T> {}
 
     /** An object was removed. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
@@ -8,12 +8,14 @@
 import org.mustardlatch.core.time.TimerService;
 
 /**
- * Keeps up with the objects of one kind: lists them once and watches from there. After an error it
- * goes on from the last revision, and lists again when the store has forgotten the history.
+ * Follows the objects of one kind: lists them once and watches for changes from that revision.
+ * After an error it resumes from the last revision; it lists again if the history has expired.
  */
 public final class StoreWatcher<T> {
-  // Each call is billed, but a path that has gone silent only shows when a call is not answered in
-  // time, and changes must be in force within seconds after it heals.
+  // Each call is billed, which favors a long wait. But a silently broken connection is only
+  // detected
+  // when a call times out, and changes must be applied within seconds after the connection
+  // recovers.
   private static final Duration WATCH_WAIT = Duration.ofMillis(2_500);
   private static final Duration FIRST_BACKOFF = Duration.ofMillis(100);
   private static final int MAX_BACKOFF_DOUBLINGS = 3;
@@ -41,12 +43,12 @@
     this.random = random;
   }
 
-  /** Starts to list. */
+  /** Starts to list and watch the objects. */
   public void start() {
     list(null);
   }
 
-  /** Ends; what still arrives is ignored. */
+  /** Stops the watcher; responses that arrive later are ignored. */
   public void stop() {
     stopped = true;
   }
@@ -68,18 +70,18 @@
     }
   }
 
-  private void handleResponse(StoreResponse<T> answer) {
+  private void handleResponse(StoreResponse<T> response) {
     if (stopped) {
       return;
     }
-    if (!(answer instanceof StoreResponse.Unavailable<T>)) {
+    if (!(response instanceof StoreResponse.Unavailable<T>)) {
       if (consecutiveFailures > 0 || !everReachable) {
         listener.reachable(everReachable);
       }
       everReachable = true;
       consecutiveFailures = 0;
     }
-    switch (answer) {
+    switch (response) {
       case StoreResponse.Page<T> page -> {
         listedEntries.addAll(page.entries());
         listedUnreadable.addAll(page.unreadable());
@@ -96,7 +98,7 @@
         revision = changes.revision();
         watch();
       }
-      case StoreResponse.HistoryExpired<T> gone -> {
+      case StoreResponse.HistoryExpired<T> expired -> {
         revision = null;
         list(null);
       }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoredEntry.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoredEntry.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.gateway.store;
 
 /**
- * An object of a watched kind.
+ * A named object of the store with its decoded content.
  *
- * @param name its name
- * @param content its content, decoded
+ * @param name name of the object
+ * @param content decoded content of the object
  */
 public record StoredEntry<T>(String name, T content) {}
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/package-info.java
@@ -1,4 +1,4 @@
-/** Watching objects of the platform's store. */
+/** Reading and watching the objects of the platform's store. */
 @NullMarked
 package org.mustardlatch.gateway.store;
 
--- a/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
@@ -19,8 +19,8 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.ZoneId;
 import org.mustardlatch.gateway.config.CallerLimits;
-import org.mustardlatch.gateway.config.EngineStage;
 import org.mustardlatch.gateway.config.EngineSpec;
+import org.mustardlatch.gateway.config.EngineStage;
 import org.mustardlatch.gateway.config.GatewayConfiguration;
 import org.mustardlatch.gateway.config.GatewayRoute;
 import org.mustardlatch.gateway.config.GatewayService;
@@ -93,8 +93,7 @@
         List.of(
             new GatewayService("app", null),
             new GatewayService(
-                "engine",
-                new EngineSpec(8, 32_000, 1000, Duration.ofMillis(500), Duration.ZERO))),
+                "engine", new EngineSpec(8, 32_000, 1000, Duration.ofMillis(500), Duration.ZERO))),
         CallerLimits.DEFAULT);
   }
 
--- a/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
@@ -37,7 +37,8 @@
     var s = new ServiceWeight("s", 1);
     var c = configuration(route("short", "/a/", s), route("long", "/a/b/", s));
 
-    assertThat(Objects.requireNonNull(c.findRoute("host:80", "/a/b/c?x=/a/")).name()).isEqualTo("long");
+    assertThat(Objects.requireNonNull(c.findRoute("host:80", "/a/b/c?x=/a/")).name())
+        .isEqualTo("long");
     assertThat(Objects.requireNonNull(c.findRoute("host", "/a/bc")).name()).isEqualTo("short");
     assertThat(c.findRoute("other", "/a/b/")).isNull();
     assertThat(c.findRoute("host", "/ab/")).isNull();
--- a/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
@@ -84,7 +84,8 @@
     pendingResponse.accept(page(null, "a"));
     pendingResponse.accept(new StoreResponse.Unavailable<>("status 503"));
     timers.advance(Duration.ofSeconds(1));
-    pendingResponse.accept(new StoreResponse.Changes<>(List.of(new StoreResponse.Change.Removed<>("a")), 9));
+    pendingResponse.accept(
+        new StoreResponse.Changes<>(List.of(new StoreResponse.Change.Removed<>("a")), 9));
 
     assertThat(notifications)
         .containsExactly(
