--- a/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
@@ -31,6 +31,6 @@
   }
 
   private BufferedResponse requireResponse() {
-    return Objects.requireNonNull(response, "body received before the head of the response");
+    return Objects.requireNonNull(response, "no response head received");
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
@@ -18,15 +18,15 @@
    * @param body the whole body; not copied
    * @param repeatable whether it may be sent again if a kept-alive connection turns out to be
    *     closed; other requests only use kept-alive connections that were in use a moment ago
-   * @param answers tests whether a response belongs to this request; others on the connection are
-   *     skipped
+   * @param responseMatcher tests whether a response belongs to this request; others on the
+   *     connection are skipped
    */
   public CallRequest(
-      HttpRequest head, byte[] body, boolean repeatable, Predicate<HttpResponse> answers) {
+      HttpRequest head, byte[] body, boolean repeatable, Predicate<HttpResponse> responseMatcher) {
     this.head = head;
     this.body = body;
     this.repeatable = repeatable;
-    this.responseMatcher = answers;
+    this.responseMatcher = responseMatcher;
   }
 
   HttpRequest head() {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -28,20 +28,20 @@
    * Creates a pool without connections.
    *
    * @param connectTimeout maximum time to establish a connection
-   * @param fresh maximum idle time of a kept-alive connection that may carry a request that must
-   *     not be repeated
+   * @param maxIdleForNonRepeatable maximum idle time of a kept-alive connection that may carry a
+   *     request that must not be repeated
    */
   public UpstreamPool(
       EventLoop loop,
       MonotonicClock clock,
       InetSocketAddress address,
       Duration connectTimeout,
-      Duration fresh) {
+      Duration maxIdleForNonRepeatable) {
     this.loop = loop;
     this.clock = clock;
     this.address = address;
     this.connectTimeout = connectTimeout;
-    this.maxIdleForNonRepeatable = fresh;
+    this.maxIdleForNonRepeatable = maxIdleForNonRepeatable;
   }
 
   long now() {
--- a/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/config/GatewayConfigurationTest.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import org.junit.jupiter.api.Test;
 
-/** Guards against requests that reach a service that their route does not name. */
+/** Guards against requests that are sent to a service that is not in their route. */
 class GatewayConfigurationTest {
   private static GatewayRoute route(String name, String prefix, ServiceWeight... to) {
     return new GatewayRoute(
--- a/gateway/src/test/java/org/mustardlatch/gateway/config/InstanceTableTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/config/InstanceTableTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against work for upstreams that are gone, and against losing live ones in an outage. */
+/** Guards against requests to removed upstreams, and against the loss of live ones in an outage. */
 class InstanceTableTest {
   private static final long SECOND = 1_000_000_000;
 
--- a/gateway/src/test/java/org/mustardlatch/gateway/http/CallerConnectionTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/http/CallerConnectionTest.java
@@ -19,9 +19,9 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 import org.mustardlatch.gateway.config.CallerLimits;
 
-/** Guards against a caller's broken connection that disturbs the work for other callers. */
+/** Guards against an exception on a caller's broken connection that affects other callers. */
 class CallerConnectionTest {
-  /** A channel whose socket is gone, so that its options can't be set. */
+  /** A channel whose socket is closed, so that setting SO_LINGER fails. */
   private static final class BrokenSocket extends EmbeddedChannel {
     @Override
     public ChannelConfig config() {
@@ -39,12 +39,12 @@
 
   @Test
   void abortsAResponseOnABrokenConnection() {
-    List<CallerExchange> taken = new ArrayList<>();
+    List<CallerExchange> received = new ArrayList<>();
     CallerHandler handler =
         new CallerHandler() {
           @Override
           public void requestReceived(CallerExchange exchange) {
-            taken.add(exchange);
+            received.add(exchange);
           }
 
           @Override
@@ -63,7 +63,7 @@
     channel.writeInbound(
         Unpooled.copiedBuffer("GET / HTTP/1.1\r\nHost: h\r\n\r\n", StandardCharsets.US_ASCII));
 
-    taken.getFirst().abort();
+    received.getFirst().abort();
 
     assertThat(channel.isOpen()).isFalse();
   }
--- a/gateway/src/test/java/org/mustardlatch/gateway/log/EventCatalogueTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/log/EventCatalogueTest.java
@@ -10,16 +10,16 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Guards against events that operators can't look up and catalogue entries without an event. */
+/** Guards against events without a catalogue entry, and catalogue entries without an event. */
 class EventCatalogueTest {
-  private static final Pattern ROW =
+  private static final Pattern CATALOGUE_ROW =
       Pattern.compile("\\| (\\d{4}) \\| ([A-Z_]+) \\| .+ \\| .+ \\|");
 
   @Test
   void catalogueListsExactlyTheEventsOfTheCode() throws IOException {
     List<String> listed =
         Files.readAllLines(Path.of("..", "docs", "EVENTS.md")).stream()
-            .map(ROW::matcher)
+            .map(CATALOGUE_ROW::matcher)
             .filter(m -> m.matches())
             .map(m -> m.group(1) + " " + m.group(2))
             .toList();
--- a/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.time.VirtualTimerService;
 
-/** Guards against changes of the store that a node misses or hears of too late. */
+/** Guards against changes of the store that a node misses or receives too late. */
 class StoreWatcherTest {
   private final VirtualTimerService timers = new VirtualTimerService();
   private final List<String> notifications = new ArrayList<>();
@@ -106,7 +106,7 @@
   void limitsTheWatchWaitToDetectASilentConnection() {
     pendingResponse.accept(page(null, "a"));
 
-    // A new version must be in force 2.5 s after it is stored, and 4 s may pass after an outage.
+    // A new version must be applied within 2.5 s after it is stored, or 4 s after an outage.
     assertThat(requestedWait).isAtMost(Duration.ofMillis(2_500));
   }
 }
