--- /dev/null
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
@@ -0,0 +1,36 @@
+package org.mustardlatch.gateway.http;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpResponse;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
+
+/** Listener for a call whose response is only used once it is complete. */
+public abstract class BufferedResponseListener implements CallListener {
+  private @Nullable BufferedResponse response;
+
+  /** Creates a listener without a response. */
+  protected BufferedResponseListener() {}
+
+  /** Handles the complete response. */
+  protected abstract void responseReceived(BufferedResponse completeResponse);
+
+  @Override
+  public final void headReceived(HttpResponse head) {
+    response = new BufferedResponse(head);
+  }
+
+  @Override
+  public final void bodyReceived(ByteBuf part) {
+    requireResponse().append(part);
+  }
+
+  @Override
+  public final void completed() {
+    responseReceived(requireResponse());
+  }
+
+  private BufferedResponse requireResponse() {
+    return Objects.requireNonNull(response, "no response head received");
+  }
+}
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
@@ -4,28 +4,29 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Predicate;
 
-/** A request to an upstream. */
+/** An HTTP request to an upstream with its whole body. */
 public final class CallRequest {
   private final HttpRequest head;
   private final byte[] body;
   private final boolean repeatable;
-  private final Predicate<HttpResponse> answers;
+  private final Predicate<HttpResponse> responseMatcher;
 
   /**
    * Creates a request.
    *
-   * @param head method, target and headers; the length of the body is set when it is sent
+   * @param head method, target and headers; the Content-Length is set when the request is sent
    * @param body the whole body; not copied
-   * @param repeatable whether it may be lost with a kept connection; other requests only use kept
-   *     connections that were in use a moment ago
-   * @param answers whether a response belongs to this request; others on the connection are skipped
+   * @param repeatable whether it may be sent again if a kept-alive connection turns out to be
+   *     closed; other requests only use kept-alive connections that were in use a moment ago
+   * @param responseMatcher tests whether a response belongs to this request; others on the
+   *     connection are skipped
    */
   public CallRequest(
-      HttpRequest head, byte[] body, boolean repeatable, Predicate<HttpResponse> answers) {
+      HttpRequest head, byte[] body, boolean repeatable, Predicate<HttpResponse> responseMatcher) {
     this.head = head;
     this.body = body;
     this.repeatable = repeatable;
-    this.answers = answers;
+    this.responseMatcher = responseMatcher;
   }
 
   HttpRequest head() {
@@ -40,7 +41,7 @@
     return repeatable;
   }
 
-  boolean isAnsweredBy(HttpResponse response) {
-    return answers.test(response);
+  boolean matches(HttpResponse response) {
+    return responseMatcher.test(response);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
@@ -9,11 +9,11 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The timer service of the data path: tasks run on the thread that also handles connections. */
+/** Timer service that runs its tasks on the event loop that also handles connections. */
 public final class NettyTimerService implements TimerService {
   private final EventExecutor loop;
 
-  /** Creates a service on an event loop. */
+  /** Creates a service that runs its tasks on the given event loop. */
   public NettyTimerService(EventExecutor loop) {
     this.loop = loop;
   }
@@ -26,7 +26,7 @@
   @Override
   public TimerSubscription schedule(Duration delay, Runnable task) {
     long nanos = Math.max(0, delay.toNanos());
-    ScheduledFuture<?> f = loop.schedule(guarded(task), nanos, TimeUnit.NANOSECONDS);
+    ScheduledFuture<?> f = loop.schedule(loggingExceptions(task), nanos, TimeUnit.NANOSECONDS);
     return () -> f.cancel(false);
   }
 
@@ -34,12 +34,12 @@
   public TimerSubscription every(Duration period, Runnable task) {
     long nanos = period.toNanos();
     ScheduledFuture<?> f =
-        loop.scheduleWithFixedDelay(guarded(task), nanos, nanos, TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(loggingExceptions(task), nanos, nanos, TimeUnit.NANOSECONDS);
     return () -> f.cancel(false);
   }
 
-  /** An exception must not end a repeated task, so it is logged here. */
-  private static Runnable guarded(Runnable task) {
+  /** Wraps a task to log its exceptions, since an uncaught one would end a repeated task. */
+  private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
@@ -20,19 +20,19 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** A connection to an upstream, which carries one call at a time. */
+/** A connection to an upstream that carries one call at a time. */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-  /** A keep-alive time that an upstream did not state. */
+  /** Keep-alive timeout that is assumed if the upstream states none. */
   private static final Duration DEFAULT_KEEP_ALIVE = Duration.ofSeconds(4);
 
   private final UpstreamPool pool;
   private final ResponseDecoder decoder;
   private final Channel channel;
   private @Nullable Call call;
-  private @Nullable ChannelFuture written;
-  private boolean skipping;
-  private boolean headSeen;
-  private boolean closeAfter;
+  private @Nullable ChannelFuture requestWritten;
+  private boolean skippingResponse;
+  private boolean headReceived;
+  private boolean closeAfterResponse;
   private boolean broken;
   private long keepAliveNanos = DEFAULT_KEEP_ALIVE.toNanos();
   private long idleSinceNanos;
@@ -43,19 +43,21 @@
     this.decoder = decoder;
   }
 
-  /** Returns whether a call may use this idle connection. */
+  /** Returns whether a call may use this idle connection, given the current time in nanoseconds. */
   boolean usable(boolean repeatable, long now) {
     long idle = now - idleSinceNanos;
-    // The upstream closes at its own time, and the news of it takes a moment.
+    // The upstream closes by its own clock, and the close takes time to arrive.
     long limit =
-        repeatable ? keepAliveNanos * 3 / 4 : Math.min(keepAliveNanos / 4, pool.freshNanos());
+        repeatable
+            ? keepAliveNanos * 3 / 4
+            : Math.min(keepAliveNanos / 4, pool.maxIdleNanosForNonRepeatable());
     return channel.isActive() && !broken && idle < limit;
   }
 
   void send(Call next, CallRequest request) {
     call = next;
-    headSeen = false;
-    closeAfter = false;
+    headReceived = false;
+    closeAfterResponse = false;
     HttpHeaders headers = request.head().headers();
     decoder.expectNoBody(HttpMethod.HEAD.equals(request.head().method()));
     headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
@@ -63,7 +65,7 @@
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
     var unused = channel.write(request.head());
-    written =
+    requestWritten =
         channel.writeAndFlush(new DefaultLastHttpContent(Unpooled.wrappedBuffer(request.body())));
     next.listener().sent();
   }
@@ -82,44 +84,44 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (message instanceof HttpResponse r) {
-        head(r);
+        handleHead(r);
       }
       if (message instanceof HttpContent c) {
-        content(c);
+        handleContent(c);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  private void head(HttpResponse r) {
+  private void handleHead(HttpResponse r) {
     Call c = call;
     if (r.decoderResult().isFailure()) {
-      fail(CallFailure.GARBLED, "no HTTP response");
+      failCall(CallFailure.GARBLED, "not an HTTP response");
       return;
     }
     if (c == null) {
-      // Bytes that belong to no request.
+      // The response belongs to no request.
       close();
       return;
     }
     boolean interim = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    skipping = interim || !c.request().isAnsweredBy(r);
-    if (skipping) {
-      // The connection has carried an answer of another request; it is not used again.
-      closeAfter |= !interim;
+    skippingResponse = interim || !c.request().matches(r);
+    if (skippingResponse) {
+      // The connection carried a response to another request, so it is not reused.
+      closeAfterResponse |= !interim;
       return;
     }
-    headSeen = true;
-    keepAlive(r.headers());
+    headReceived = true;
+    readKeepAliveTimeout(r.headers());
     if (r.headers().containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true)
         || r.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-      closeAfter = true;
+      closeAfterResponse = true;
     }
-    c.listener().head(r);
+    c.listener().headReceived(r);
   }
 
-  private void keepAlive(HttpHeaders headers) {
+  private void readKeepAliveTimeout(HttpHeaders headers) {
     String value = headers.get("Keep-Alive");
     if (value == null) {
       return;
@@ -130,74 +132,74 @@
         try {
           keepAliveNanos = Duration.ofSeconds(Long.parseLong(p.substring(8).strip())).toNanos();
         } catch (NumberFormatException e) {
-          // An unreadable hint leaves the default, which is short.
+          // An invalid value falls back to the default, which is short.
           keepAliveNanos = DEFAULT_KEEP_ALIVE.toNanos();
         }
       }
     }
   }
 
-  private void content(HttpContent content) {
+  private void handleContent(HttpContent content) {
     Call c = call;
     if (c == null || broken) {
       return;
     }
     if (content.decoderResult().isFailure()) {
-      fail(CallFailure.GARBLED, "broken body");
+      failCall(CallFailure.GARBLED, "malformed response body");
       return;
     }
-    if (skipping) {
-      skipping = !(content instanceof LastHttpContent);
+    if (skippingResponse) {
+      skippingResponse = !(content instanceof LastHttpContent);
       return;
     }
-    if (!headSeen) {
+    if (!headReceived) {
       return;
     }
     if (content.content().isReadable()) {
-      c.listener().body(content.content());
+      c.listener().bodyReceived(content.content());
     }
     if (content instanceof LastHttpContent && call == c) {
-      end(c);
+      completeCall(c);
     }
   }
 
-  private void end(Call c) {
+  private void completeCall(Call c) {
     call = null;
-    ChannelFuture w = written;
-    // A request that the upstream has not read to its end must not be mixed with the next one.
-    boolean keep = !closeAfter && w != null && w.isSuccess() && channel.isActive();
+    ChannelFuture w = requestWritten;
+    // A request that is not fully written must not be mixed with the next one.
+    boolean reusable = !closeAfterResponse && w != null && w.isSuccess() && channel.isActive();
     idleSinceNanos = pool.now();
     setAutoRead(true);
-    c.finished();
-    if (keep) {
-      pool.idle(this);
+    c.markDone();
+    if (reusable) {
+      pool.idleConnections(this);
     } else {
       close();
     }
-    c.listener().end();
+    c.listener().completed();
   }
 
-  private void fail(CallFailure failure, String reason) {
+  private void failCall(CallFailure failure, String reason) {
     Call c = call;
     close();
     pool.closed(this);
     if (c != null) {
-      c.finished();
+      c.markDone();
       c.listener().failed(failure, reason);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    fail(CallFailure.BROKEN, "connection closed by upstream");
+    failCall(CallFailure.BROKEN, "connection closed by upstream");
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    fail(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
+    failCall(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
   }
 
-  /** Decodes responses without pairing them with requests, which stray answers would break. */
+  /** Decodes responses without pairing them with requests, since stray responses would break it. */
   static final class ResponseDecoder extends io.netty.handler.codec.http.HttpResponseDecoder {
     private boolean noBody;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -14,49 +14,51 @@
 import java.util.Deque;
 import org.mustardlatch.core.time.MonotonicClock;
 
-/** Connections to one start of one upstream. */
+/** Pool of connections to one run of one upstream. Used on the event loop only. */
 public final class UpstreamPool {
   private final EventLoop loop;
   private final MonotonicClock clock;
   private final InetSocketAddress address;
   private final Duration connectTimeout;
-  private final Duration fresh;
-  private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
+  private final Duration maxIdleForNonRepeatable;
+  private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
   private boolean closed;
 
   /**
    * Creates a pool without connections.
    *
-   * @param connectTimeout longest time for a new connection
-   * @param fresh longest idle time of a kept connection that may carry a request that must not be
-   *     repeated
+   * @param connectTimeout maximum time to establish a connection
+   * @param maxIdleForNonRepeatable maximum idle time of a kept-alive connection that may carry a
+   *     request that must not be repeated
    */
   public UpstreamPool(
       EventLoop loop,
       MonotonicClock clock,
       InetSocketAddress address,
       Duration connectTimeout,
-      Duration fresh) {
+      Duration maxIdleForNonRepeatable) {
     this.loop = loop;
     this.clock = clock;
     this.address = address;
     this.connectTimeout = connectTimeout;
-    this.fresh = fresh;
+    this.maxIdleForNonRepeatable = maxIdleForNonRepeatable;
   }
 
   long now() {
     return clock.nanos();
   }
 
-  long freshNanos() {
-    return fresh.toNanos();
+  long maxIdleNanosForNonRepeatable() {
+    return maxIdleForNonRepeatable.toNanos();
   }
 
-  /** Sends a request; the listener hears of its answer. */
+  /** Sends a request; the listener receives the response. */
   public Call send(CallRequest request, CallListener listener) {
     Call call = new Call(request, listener);
     long now = clock.nanos();
-    for (UpstreamConnection c = idle.pollLast(); c != null; c = idle.pollLast()) {
+    for (UpstreamConnection c = idleConnections.pollLast();
+        c != null;
+        c = idleConnections.pollLast()) {
       if (c.usable(request.repeatable(), now)) {
         start(call, c);
         return call;
@@ -68,13 +70,13 @@
   }
 
   private static void start(Call call, UpstreamConnection c) {
-    call.on(c);
+    call.assignConnection(c);
     c.send(call, call.request());
   }
 
   private void connect(Call call) {
     Bootstrap b = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-    ChannelOptions.all().forEach((option, value) -> set(b, option, value));
+    ChannelOptions.all().forEach((option, value) -> setOption(b, option, value));
     b.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis());
     b.handler(
         new ChannelInitializer<Channel>() {
@@ -87,41 +89,41 @@
             ch.pipeline().addLast("connection", connection);
           }
         });
-    b.connect(address).addListener((ChannelFuture f) -> connected(f, call));
+    b.connect(address).addListener((ChannelFuture f) -> connectFinished(f, call));
   }
 
-  private static void connected(ChannelFuture f, Call call) {
+  private static void connectFinished(ChannelFuture f, Call call) {
     if (call.done()) {
       var unused = f.channel().close();
     } else if (f.isSuccess()) {
       start(call, (UpstreamConnection) f.channel().pipeline().get("connection"));
     } else {
-      call.finished();
+      call.markDone();
       call.listener().failed(CallFailure.NOT_SENT, String.valueOf(f.cause().getMessage()));
     }
   }
 
   @SuppressWarnings("unchecked")
-  private static void set(Bootstrap b, ChannelOption<?> option, Object value) {
+  private static void setOption(Bootstrap b, ChannelOption<?> option, Object value) {
     b.option((ChannelOption<Object>) option, value);
   }
 
-  void idle(UpstreamConnection c) {
+  void idleConnections(UpstreamConnection c) {
     if (closed) {
       c.close();
     } else {
-      idle.addLast(c);
+      idleConnections.addLast(c);
     }
   }
 
   void closed(UpstreamConnection c) {
-    idle.remove(c);
+    idleConnections.remove(c);
   }
 
-  /** Closes idle connections; those in use close at the end of their call. */
+  /** Closes idle connections; those in use are closed at the end of their call. */
   public void close() {
     closed = true;
-    idle.forEach(UpstreamConnection::close);
-    idle.clear();
+    idleConnections.forEach(UpstreamConnection::close);
+    idleConnections.clear();
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
@@ -7,17 +7,17 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
+import org.mustardlatch.gateway.http.BufferedResponse;
+import org.mustardlatch.gateway.http.BufferedResponseListener;
 import org.mustardlatch.gateway.http.Call;
 import org.mustardlatch.gateway.http.CallFailure;
 import org.mustardlatch.gateway.http.CallRequest;
-import org.mustardlatch.gateway.http.CollectedAnswer;
-import org.mustardlatch.gateway.http.UpstreamAnswer;
 import org.mustardlatch.gateway.http.UpstreamPool;
 
-/** Reads objects of one kind over HTTP. */
+/** Reads objects of one kind from the platform's store over HTTP. */
 public final class HttpStoreReader<T> implements StoreReader<T> {
-  // A store that answers in milliseconds is taken for unreachable after this.
-  private static final Duration TIMEOUT = Duration.ofMillis(1_500);
+  // The store normally responds in milliseconds; after this time it is taken for unreachable.
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
   private final TimerService timers;
   private final UpstreamPool pool;
@@ -31,60 +31,66 @@
   }
 
   @Override
-  public void list(@Nullable String after, Consumer<StoreAnswer<T>> answer) {
-    call(codec.list(after), TIMEOUT, codec::readList, answer);
+  public void list(@Nullable String after, Consumer<StoreResponse<T>> consumer) {
+    send(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, consumer);
   }
 
   @Override
-  public void watch(long revision, Duration wait, Consumer<StoreAnswer<T>> answer) {
-    call(codec.watch(revision, wait), wait.plus(TIMEOUT), codec::readWatch, answer);
+  public void watch(long revision, Duration wait, Consumer<StoreResponse<T>> consumer) {
+    send(
+        codec.watchRequest(revision, wait),
+        wait.plus(RESPONSE_TIMEOUT),
+        codec::decodeWatch,
+        consumer);
   }
 
-  private void call(
+  private void send(
       HttpRequest request,
       Duration timeout,
-      BiFunction<Integer, byte[], StoreAnswer<T>> decoder,
-      Consumer<StoreAnswer<T>> answer) {
-    var listener = new Reading(decoder, answer);
+      BiFunction<Integer, byte[], StoreResponse<T>> decoder,
+      Consumer<StoreResponse<T>> consumer) {
+    var listener = new PendingRead(decoder, consumer);
     listener.timer = timers.schedule(timeout, listener::timedOut);
     listener.call = pool.send(new CallRequest(request, new byte[0], true, r -> true), listener);
   }
 
-  /** Collects one answer. */
-  private final class Reading extends CollectedAnswer {
-    private final BiFunction<Integer, byte[], StoreAnswer<T>> decoder;
-    private final Consumer<StoreAnswer<T>> answer;
+  /** A read in progress; passes on its response, or a failure, exactly once. */
+  private final class PendingRead extends BufferedResponseListener {
+    private final BiFunction<Integer, byte[], StoreResponse<T>> decoder;
+    private final Consumer<StoreResponse<T>> consumer;
     private @Nullable Call call;
     private @Nullable TimerSubscription timer;
 
-    Reading(BiFunction<Integer, byte[], StoreAnswer<T>> decoder, Consumer<StoreAnswer<T>> answer) {
+    PendingRead(
+        BiFunction<Integer, byte[], StoreResponse<T>> decoder,
+        Consumer<StoreResponse<T>> consumer) {
       this.decoder = decoder;
-      this.answer = answer;
+      this.consumer = consumer;
     }
 
     @Override
-    protected void answered(UpstreamAnswer whole) {
-      finish(decoder.apply(whole.status(), whole.body()));
+    protected void responseReceived(BufferedResponse response) {
+      finish(decoder.apply(response.status(), response.body()));
     }
 
     @Override
     public void failed(CallFailure failure, String reason) {
-      finish(new StoreAnswer.Unavailable<>(failure + " " + reason));
+      finish(new StoreResponse.Unavailable<>(failure + " " + reason));
     }
 
     void timedOut() {
       if (call != null) {
         call.cancel();
       }
-      finish(new StoreAnswer.Unavailable<>("no answer in time"));
+      finish(new StoreResponse.Unavailable<>("no response in time"));
     }
 
-    private void finish(StoreAnswer<T> result) {
+    private void finish(StoreResponse<T> result) {
       if (timer != null) {
         timer.cancel();
       }
-      // The next call must not start inside of the connection's handling of this one.
-      timers.schedule(Duration.ZERO, () -> answer.accept(result));
+      // The consumer may start the next call, which must not run inside the connection's handler.
+      timers.schedule(Duration.ZERO, () -> consumer.accept(result));
     }
   }
 }
