--- a/cli/src/main/java/org/mustardlatch/cli/OperatorApiException.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandException.java
@@ -1,18 +1,18 @@
 package org.mustardlatch.cli;
 
 /** A command could not be carried out. */
-final class OperatorApiException extends RuntimeException {
+final class CommandException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final String code;
-  private final String place;
+  private final String location;
   private final String remedy;
   private final int exitCode;
 
-  OperatorApiException(String code, String place, String message, String remedy, int exitCode) {
+  CommandException(String code, String place, String message, String remedy, int exitCode) {
     super(message);
     this.code = code;
-    this.place = place;
+    this.location = place;
     this.remedy = remedy;
     this.exitCode = exitCode;
   }
@@ -21,8 +21,8 @@
     return code;
   }
 
-  String place() {
-    return place;
+  String location() {
+    return location;
   }
 
   String remedy() {
--- a/cli/src/main/java/org/mustardlatch/cli/CommandName.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandHelp.java
@@ -1,7 +1,7 @@
 package org.mustardlatch.cli;
 
 /** Commands with the lines that the help shows. */
-enum CommandName {
+enum CommandHelp {
   MANIFEST_CHECK("manifest check FILE", "check a manifest and print every finding"),
   MANIFEST_PUBLISH("manifest publish FILE --base N", "publish a manifest on top of revision N"),
   MANIFEST_DIFF("manifest diff FILE [FILE]", "compare two files, or the one in force with a file"),
@@ -16,7 +16,7 @@
   private final String synopsis;
   private final String summary;
 
-  CommandName(String synopsis, String summary) {
+  CommandHelp(String synopsis, String summary) {
     this.synopsis = synopsis;
     this.summary = summary;
   }
--- a/cli/src/main/java/org/mustardlatch/cli/ViewCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/DocumentCommand.java
@@ -4,43 +4,43 @@
 import org.kohsuke.args4j.Option;
 
 /** A command that prints one document of a daemon. */
-public abstract class ViewCommand implements Command {
+public abstract class DocumentCommand implements Command {
   @Option(name = "--node", metaVar = "URL", usage = "operator address of the daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   /** Returns the path of the document on the operator address. */
-  abstract String path();
+  abstract String documentPath();
 
   @Override
   public int run(Console console) {
-    console.out().println(new OperatorClient(node).document(path()));
+    console.out().println(new OperatorClient(nodeUrl).fetchDocument(documentPath()));
     return ExitCode.OK;
   }
 
   /** Prints revision, members and readiness. */
-  public static final class Status extends ViewCommand {
+  public static final class Status extends DocumentCommand {
     @Override
-    String path() {
+    String documentPath() {
       return "/status";
     }
   }
 
   /** Prints the full state. */
-  public static final class Dump extends ViewCommand {
+  public static final class Dump extends DocumentCommand {
     @Override
-    String path() {
+    String documentPath() {
       return "/dump";
     }
   }
 
   /** Prints the decisions about one request. */
-  public static final class Explain extends ViewCommand {
+  public static final class Explain extends DocumentCommand {
     @Argument(required = true, metaVar = "REQUEST-ID", usage = "value of X-Request-Id")
-    String request = "";
+    String requestId = "";
 
     @Override
-    String path() {
-      return "/explain/" + request;
+    String documentPath() {
+      return "/explain/" + requestId;
     }
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/DrainCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/DrainCommand.java
@@ -5,11 +5,11 @@
 /** Asks a daemon for a graceful stop. */
 public final class DrainCommand implements Command {
   @Option(name = "--node", metaVar = "URL", usage = "operator address of the daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   @Override
   public int run(Console console) {
-    new OperatorClient(node).drain();
+    new OperatorClient(nodeUrl).drain();
     console.out().println("draining; the daemon exits when its last request has ended");
     return ExitCode.OK;
   }
--- a/cli/src/main/java/org/mustardlatch/cli/ExitCode.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ExitCode.java
@@ -12,7 +12,7 @@
   static final int USAGE = 2;
 
   /** The command may or may not have taken effect. */
-  static final int UNKNOWN = 3;
+  static final int OUTCOME_UNKNOWN = 3;
 
   private ExitCode() {}
 }
--- a/cli/src/main/java/org/mustardlatch/cli/Main.java
+++ b/cli/src/main/java/org/mustardlatch/cli/Main.java
@@ -10,7 +10,7 @@
 
 /** Entry point of the command-line tool. */
 public final class Main {
-  private static final ParserProperties WIDE = ParserProperties.defaults().withUsageWidth(100);
+  private static final ParserProperties PARSER_PROPERTIES = ParserProperties.defaults().withUsageWidth(100);
 
   private static final Set<String> REPLAY_COMMANDS = Set.of("replay", "generate", "compare");
 
@@ -34,7 +34,7 @@
       return ReplayCommand.run(args, out, err);
     }
     MainOptions options = new MainOptions();
-    CmdLineParser parser = new CmdLineParser(options, WIDE);
+    CmdLineParser parser = new CmdLineParser(options, PARSER_PROPERTIES);
     try {
       parser.parseArgument(args);
     } catch (CmdLineException e) {
@@ -63,8 +63,8 @@
     } catch (MustardlatchException e) {
       console.error(e.code().wireName(), "command", String.valueOf(e.getMessage()), "see above");
       return ExitCode.FAILED;
-    } catch (OperatorApiException e) {
-      console.error(e.code(), e.place(), String.valueOf(e.getMessage()), e.remedy());
+    } catch (CommandException e) {
+      console.error(e.code(), e.location(), String.valueOf(e.getMessage()), e.remedy());
       return e.exitCode();
     }
   }
@@ -72,7 +72,7 @@
   private static void printHelp(CmdLineParser parser, PrintStream stream) {
     stream.println("usage: mustardlatch [--help] [--version] COMMAND [OPTIONS]");
     stream.println();
-    for (CommandName name : CommandName.values()) {
+    for (CommandHelp name : CommandHelp.values()) {
       stream.printf("  %-44s %s%n", name.synopsis(), name.summary());
     }
     stream.println();
--- a/cli/src/main/java/org/mustardlatch/cli/MainOptions.java
+++ b/cli/src/main/java/org/mustardlatch/cli/MainOptions.java
@@ -18,10 +18,10 @@
   @Argument(handler = SubCommandHandler.class, metaVar = "COMMAND")
   @SubCommands({
     @SubCommand(name = "manifest", impl = ManifestCommand.class),
-    @SubCommand(name = "status", impl = ViewCommand.Status.class),
-    @SubCommand(name = "dump", impl = ViewCommand.Dump.class),
+    @SubCommand(name = "status", impl = DocumentCommand.Status.class),
+    @SubCommand(name = "dump", impl = DocumentCommand.Dump.class),
     @SubCommand(name = "drain", impl = DrainCommand.class),
-    @SubCommand(name = "explain", impl = ViewCommand.Explain.class)
+    @SubCommand(name = "explain", impl = DocumentCommand.Explain.class)
   })
   @Nullable Command command;
 }
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestCheckCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestCheckCommand.java
@@ -10,7 +10,7 @@
 
   @Override
   public int run(Console console) {
-    Manifest manifest = ManifestFile.read(file).orPrint(console);
+    Manifest manifest = ManifestFile.read(file).manifestOrPrintFindings(console);
     if (manifest == null) {
       return ExitCode.FAILED;
     }
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
@@ -10,32 +10,32 @@
 /** Compares two manifest files, or the manifest in force with a file. */
 public final class ManifestDiffCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
-  String first = "";
+  String firstFile = "";
 
   @Argument(index = 1, metaVar = "FILE", usage = "newer manifest; without it, the one in force")
-  String second = "";
+  String secondFile = "";
 
   @Option(name = "--node", metaVar = "URL", usage = "operator address of any daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   @Override
   public int run(Console console) {
-    Manifest given = ManifestFile.read(first).orPrint(console);
+    Manifest given = ManifestFile.read(firstFile).manifestOrPrintFindings(console);
     if (given == null) {
       return ExitCode.FAILED;
     }
-    if (!second.isEmpty()) {
-      Manifest newer = ManifestFile.read(second).orPrint(console);
+    if (!secondFile.isEmpty()) {
+      Manifest newer = ManifestFile.read(secondFile).manifestOrPrintFindings(console);
       return newer == null ? ExitCode.FAILED : print(console, given, newer);
     }
-    String inForce = new OperatorClient(node).manifestText();
+    String inForce = new OperatorClient(nodeUrl).fetchManifestText();
     Manifest older =
         ManifestParser.parse("manifest in force", inForce).orThrow(ErrorCode.MANIFEST_INVALID);
     return print(console, older, given);
   }
 
   private static int print(Console console, Manifest before, Manifest after) {
-    ManifestDiff.between(before, after).changes().forEach(console.out()::println);
+    ManifestDiff.compare(before, after).changes().forEach(console.out()::println);
     return ExitCode.OK;
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestFile.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestFile.java
@@ -14,20 +14,20 @@
  * A manifest file that was read.
  *
  * @param text its text
- * @param result the manifest or its findings
+ * @param parseResult the manifest or its findings
  */
-record ManifestFile(String text, ParseResult<Manifest> result) {
+record ManifestFile(String text, ParseResult<Manifest> parseResult) {
   /**
    * Reads a file.
    *
-   * @throws OperatorApiException when the file can't be read as UTF-8 text
+   * @throws CommandException when the file can't be read as UTF-8 text
    */
   static ManifestFile read(String file) {
     String text;
     try {
       text = Files.readString(Path.of(file), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "unreadable_file",
           file,
           "cannot read the file: " + e,
@@ -38,10 +38,10 @@
   }
 
   /** Prints every finding; returns the manifest, or null when there are findings. */
-  @Nullable Manifest orPrint(Console console) {
-    result
+  @Nullable Manifest manifestOrPrintFindings(Console console) {
+    parseResult
         .findings()
-        .forEach(f -> console.error(f.code(), f.place().toString(), f.message(), f.remedy()));
-    return result.isValid() ? result.orThrow(ErrorCode.MANIFEST_INVALID) : null;
+        .forEach(f -> console.error(f.code(), f.location().toString(), f.message(), f.remedy()));
+    return parseResult.isValid() ? parseResult.orThrow(ErrorCode.MANIFEST_INVALID) : null;
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
@@ -10,22 +10,22 @@
   String file = "";
 
   @Option(name = "--node", metaVar = "URL", usage = "operator address of any daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   @Option(
       name = "--base",
       required = true,
       metaVar = "N",
       usage = "revision that this manifest replaces; 0 for the first")
-  long base;
+  long baseRevision;
 
   @Override
   public int run(Console console) {
     ManifestFile manifest = ManifestFile.read(file);
-    if (manifest.orPrint(console) == null) {
+    if (manifest.manifestOrPrintFindings(console) == null) {
       return ExitCode.FAILED;
     }
-    JsonNode answer = new OperatorClient(node).publish(manifest.text(), base);
+    JsonNode answer = new OperatorClient(nodeUrl).publish(manifest.text(), baseRevision);
     console.out().println("accepted as revision " + answer.path("revision").asLong());
     return ExitCode.OK;
   }
--- a/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
+++ b/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
@@ -16,29 +16,29 @@
 /** Calls the operator interface of a daemon. */
 final class OperatorClient {
   /** Operator address of the example settings. */
-  static final String DEFAULT_NODE = "http://127.0.0.1:8081";
+  static final String DEFAULT_NODE_URL = "http://127.0.0.1:8081";
 
   private static final MediaType TOML = MediaType.get("application/toml; charset=utf-8");
   private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final String node;
+  private final String nodeUrl;
   private final OkHttpClient http =
       new OkHttpClient.Builder().callTimeout(TIMEOUT).retryOnConnectionFailure(false).build();
 
   OperatorClient(String node) {
-    this.node = node;
+    this.nodeUrl = node;
   }
 
   /** Publishes a manifest on top of a base revision; returns the daemon's answer. */
   JsonNode publish(String text, long base) {
     HttpUrl url = url("/manifest").newBuilder().addQueryParameter("base", "" + base).build();
     Request request = new Request.Builder().url(url).post(RequestBody.create(text, TOML)).build();
-    return json(call(request, "run \"mustardlatch status\" to see the revision in force"));
+    return parseJson(execute(request, "run \"mustardlatch status\" to see the revision in force"));
   }
 
   /** Returns the text of the manifest in force. */
-  String manifestText() {
+  String fetchManifestText() {
     return get("/manifest");
   }
 
@@ -49,56 +49,56 @@
             .url(url("/drain"))
             .post(RequestBody.create("", MediaType.get("text/plain")))
             .build();
-    call(request, "run \"mustardlatch status\" to see whether the daemon drains");
+    execute(request, "run \"mustardlatch status\" to see whether the daemon drains");
   }
 
   /** Returns a JSON document, indented. */
-  String document(String path) {
-    return json(get(path)).toPrettyString();
+  String fetchDocument(String path) {
+    return parseJson(get(path)).toPrettyString();
   }
 
   private String get(String path) {
-    return call(new Request.Builder().url(url(path)).build(), "try again");
+    return execute(new Request.Builder().url(url(path)).build(), "try again");
   }
 
   private HttpUrl url(String path) {
-    HttpUrl base = HttpUrl.parse(node);
+    HttpUrl base = HttpUrl.parse(nodeUrl);
     if (base == null) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "invalid_argument",
           "--node",
-          "\"" + node + "\" is not an http URL",
-          "give the operator address of a daemon, for example " + DEFAULT_NODE,
+          "\"" + nodeUrl + "\" is not an http URL",
+          "give the operator address of a daemon, for example " + DEFAULT_NODE_URL,
           ExitCode.USAGE);
     }
     return base.newBuilder().encodedPath(path).build();
   }
 
-  private String call(Request request, String remedyWhenUnknown) {
+  private String execute(Request request, String remedyWhenUnknown) {
     try (Response response = http.newCall(request).execute()) {
       String body = response.body().string();
       if (response.isSuccessful()) {
         return body;
       }
-      throw refused(request, response.code(), body);
+      throw toException(request, response.code(), body);
     } catch (ConnectException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "unreachable",
           request.url().toString(),
           "no daemon answers: " + e.getMessage(),
           "check --node and that the daemon runs",
           ExitCode.FAILED);
     } catch (IOException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "outcome_unknown",
           request.url().toString(),
           "the connection broke before an answer came: " + e.getMessage(),
           remedyWhenUnknown,
-          ExitCode.UNKNOWN);
+          ExitCode.OUTCOME_UNKNOWN);
     }
   }
 
-  private static OperatorApiException refused(Request request, int status, String body) {
+  private static CommandException toException(Request request, int status, String body) {
     JsonNode error;
     try {
       error = JSON.readTree(body).path("error");
@@ -106,8 +106,8 @@
       error = JSON.createObjectNode();
     }
     String code = error.path("code").asText("http_" + status);
-    int exitCode = code.equals("manifest_unknown") ? ExitCode.UNKNOWN : ExitCode.FAILED;
-    return new OperatorApiException(
+    int exitCode = code.equals("manifest_unknown") ? ExitCode.OUTCOME_UNKNOWN : ExitCode.FAILED;
+    return new CommandException(
         code,
         request.url().toString(),
         error.path("message").asText(body),
@@ -115,11 +115,11 @@
         exitCode);
   }
 
-  private static JsonNode json(String body) {
+  private static JsonNode parseJson(String body) {
     try {
       return JSON.readTree(body);
     } catch (JsonProcessingException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "malformed_json",
           "answer of the daemon",
           String.valueOf(e.getOriginalMessage()),
--- a/cli/src/test/java/org/mustardlatch/cli/MainTest.java
+++ b/cli/src/test/java/org/mustardlatch/cli/MainTest.java
@@ -40,7 +40,7 @@
   @Test
   void helpListsEveryCommandAndExitsWithZero() {
     assertThat(run("--help")).isEqualTo(0);
-    for (CommandName name : CommandName.values()) {
+    for (CommandHelp name : CommandHelp.values()) {
       assertThat(out()).contains(name.synopsis());
     }
     assertThat(err()).isEmpty();
@@ -54,13 +54,13 @@
   }
 
   @Test
-  void validManifestPassesTheCheck() {
+  void validManifestPassesCheck() {
     assertThat(run("manifest", "check", MANIFEST)).isEqualTo(0);
     assertThat(out()).contains("valid, 4 upstreams");
   }
 
   @Test
-  void everyFindingIsPrintedWithItsPlace(@TempDir Path dir) throws IOException {
+  void everyFindingIsPrintedWithItsLocation(@TempDir Path dir) throws IOException {
     Path file = Files.writeString(dir.resolve("m.toml"), "[manifest]\nnam = \"x\"\n");
     assertThat(run("manifest", "check", file.toString())).isEqualTo(1);
     assertThat(err()).contains("error unknown_key at " + file + ":2:1");
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void publishWhoseAnswerIsLostIsReportedAsUnknown() throws Exception {
+  void publishWithoutResponseIsReportedAsUnknown() throws Exception {
     try (MockWebServer server = new MockWebServer()) {
       server.enqueue(
           new MockResponse.Builder().onResponseStart(new SocketEffect.CloseSocket()).build());
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void unreachableDaemonIsNamedWithItsAddress() {
+  void unreachableDaemonIsReportedWithItsUrl() {
     assertThat(run("status", "--node", "http://127.0.0.1:1")).isEqualTo(1);
     assertThat(err()).contains("error unreachable at http://127.0.0.1:1/status");
   }
--- a/core/src/main/java/org/mustardlatch/core/error/ParseResult.java
+++ b/core/src/main/java/org/mustardlatch/core/error/ParseResult.java
@@ -33,7 +33,7 @@
       throw new IllegalArgumentException("an invalid result needs at least one finding");
     }
     List<Finding> sorted =
-        findings.stream().sorted((a, b) -> a.place().compareTo(b.place())).toList();
+        findings.stream().sorted((a, b) -> a.location().compareTo(b.location())).toList();
     return new ParseResult<>(null, sorted);
   }
 
--- a/core/src/main/java/org/mustardlatch/core/error/Place.java
+++ b/core/src/main/java/org/mustardlatch/core/error/SourceLocation.java
@@ -7,9 +7,9 @@
  * @param line 1 for the first line
  * @param column 1 for the first column
  */
-public record Place(String file, int line, int column) implements Comparable<Place> {
+public record SourceLocation(String file, int line, int column) implements Comparable<SourceLocation> {
   @Override
-  public int compareTo(Place other) {
+  public int compareTo(SourceLocation other) {
     return line != other.line
         ? Integer.compare(line, other.line)
         : Integer.compare(column, other.column);
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
@@ -43,7 +43,7 @@
   }
 
   /** Compares two manifests. */
-  public static ManifestDiff between(Manifest before, Manifest after) {
+  public static ManifestDiff compare(Manifest before, Manifest after) {
     Map<String, String> old = entries(before);
     Map<String, String> current = entries(after);
     List<Change> changes = new ArrayList<>();
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
@@ -26,8 +26,8 @@
   /** Largest manifest that the object service holds, bytes. */
   public static final int MAX_BYTES = 1_000_000;
 
-  private static final long MAX_RATE = 1_000_000_000_000L;
-  private static final int MAX_MILLIS = 3_600_000;
+  private static final long MAX_LINK_BYTES_PER_SECOND = 1_000_000_000_000L;
+  private static final int MAX_TARGET_MILLIS = 3_600_000;
 
   private ManifestParser() {}
 
@@ -56,22 +56,22 @@
     if (!findings.all().isEmpty()) {
       return ParseResult.invalid(findings.all());
     }
-    Manifest manifest = read(root);
+    Manifest manifest = readManifest(root);
     return findings.all().isEmpty()
         ? ParseResult.valid(manifest)
         : ParseResult.invalid(findings.all());
   }
 
-  private static Manifest read(TomlSection root) {
+  private static Manifest readManifest(TomlSection root) {
     TomlSection head = root.section("manifest");
     String name = head.requiredString("name");
-    Objective objective = head.optional("objective", ManifestParser::objective);
+    Objective objective = head.optional("objective", ManifestParser::parseObjective);
     head.rejectUnknownKeys();
-    ManifestReferences references = new ManifestReferences();
+    DefinedNames references = new DefinedNames();
     List<Region> regions = new ArrayList<>();
     root.sections("region").forEach(s -> addRegion(s, regions, references));
     if (regions.isEmpty()) {
-      root.finding("missing_key", "region", "the manifest has no region", "add a [[region]]");
+      root.addFinding("missing_key", "region", "the manifest has no region", "add a [[region]]");
     }
     CrossRegionLink link = readLink(root.section("link"));
     List<Workspace> workspaces = new ArrayList<>();
@@ -97,11 +97,11 @@
             routes,
             ledger,
             limits);
-    checkPools(root, manifest);
+    checkModelsAreServed(root, manifest);
     return manifest;
   }
 
-  private static Objective objective(String text) {
+  private static Objective parseObjective(String text) {
     return switch (text) {
       case "waste-averse" -> Objective.WASTE_AVERSE;
       case "crest-averse" -> Objective.CREST_AVERSE;
@@ -112,11 +112,11 @@
   }
 
   private static void addRegion(
-      TomlSection s, List<Region> regions, ManifestReferences references) {
+      TomlSection s, List<Region> regions, DefinedNames references) {
     RegionId id = s.required("name", RegionId::new);
-    List<ZoneId> zones = s.list("zones", ZoneId::new);
+    List<ZoneId> zones = s.convertedStrings("zones", ZoneId::new);
     if (zones.isEmpty()) {
-      s.finding("missing_key", "zones", "the region has no availability zone", "add zones");
+      s.addFinding("missing_key", "zones", "the region has no availability zone", "add zones");
     }
     if (id != null) {
       references.define(s, "region", "name", id.value());
@@ -129,16 +129,16 @@
   private static CrossRegionLink readLink(TomlSection s) {
     CrossRegionLink link =
         new CrossRegionLink(
-            s.integer("cross_region_bytes_per_second", 0, MAX_RATE, 0),
+            s.integer("cross_region_bytes_per_second", 0, MAX_LINK_BYTES_PER_SECOND, 0),
             s.number("cross_region_budget_fraction", 0, 1, 0.5));
     s.rejectUnknownKeys();
     return link;
   }
 
   private static void addWorkspace(
-      TomlSection s, List<Workspace> workspaces, ManifestReferences references) {
+      TomlSection s, List<Workspace> workspaces, DefinedNames references) {
     WorkspaceId id = s.required("name", WorkspaceId::new);
-    List<String> keys = s.list("api_keys_sha256", ManifestParser::digest);
+    List<String> keys = s.convertedStrings("api_keys_sha256", ManifestParser::requireDigest);
     double weight = s.number("weight", 0.001, 1000, 1);
     double rate = s.number("requests_per_second", 0, 1_000_000, 1_000_000);
     long concurrent = s.integer("max_concurrent", 1, 1_000_000, 1_000_000);
@@ -150,17 +150,17 @@
     s.rejectUnknownKeys();
   }
 
-  private static String digest(String text) {
+  private static String requireDigest(String text) {
     if (!text.matches("[0-9a-f]{64}")) {
       throw new IllegalArgumentException("must be SHA-256 digests of 64 hexadecimal digits");
     }
     return text;
   }
 
-  private static void addModel(TomlSection s, List<Model> models, ManifestReferences references) {
+  private static void addModel(TomlSection s, List<Model> models, DefinedNames references) {
     ModelId id = s.required("name", ModelId::new);
-    Duration firstToken = millis(s, "first_token_target_ms", 900);
-    Duration gap = millis(s, "token_gap_target_ms", 68);
+    Duration firstToken = readMillis(s, "first_token_target_ms", 900);
+    Duration gap = readMillis(s, "token_gap_target_ms", 68);
     long maxPrompt = s.integer("max_prompt_tokens", 1, 10_000_000, 32_768);
     long kvBytes = s.integer("kv_bytes_per_token", 1, 1_000_000_000, 131_072);
     if (id != null) {
@@ -170,19 +170,19 @@
     s.rejectUnknownKeys();
   }
 
-  private static Duration millis(TomlSection s, String key, long defaultMillis) {
-    return Duration.ofMillis(s.integer(key, 1, MAX_MILLIS, defaultMillis));
+  private static Duration readMillis(TomlSection s, String key, long defaultMillis) {
+    return Duration.ofMillis(s.integer(key, 1, MAX_TARGET_MILLIS, defaultMillis));
   }
 
   private static void addUpstream(
-      TomlSection s, List<Upstream> upstreams, ManifestReferences references) {
+      TomlSection s, List<Upstream> upstreams, DefinedNames references) {
     UpstreamId id = s.required("name", UpstreamId::new);
     boolean engine = Boolean.TRUE.equals(s.required("kind", ManifestParser::isEngine));
     UpstreamRole role =
-        engine ? s.required("role", ManifestParser::role) : UpstreamRole.APPLICATION;
+        engine ? s.required("role", ManifestParser::parseRole) : UpstreamRole.APPLICATION;
     ModelId model = engine ? s.required("model", ModelId::new) : null;
     ZoneId zone = s.required("zone", ZoneId::new);
-    URI url = s.required("url", ManifestParser::url);
+    URI url = s.required("url", ManifestParser::parseUrl);
     long slots = s.integer("slots", 1, 100_000, engine ? 20 : 100);
     boolean prefills = role != null && role.prefills();
     long rate = prefills ? s.requiredInteger("prefill_tokens_per_second", 1, 100_000_000) : 0;
@@ -192,8 +192,8 @@
     if (id != null) {
       references.define(s, "upstream", "name", id.value());
     }
-    references.check(s, "zone", "zone", zone == null ? null : zone.value());
-    references.check(s, "model", "model", model == null ? null : model.value());
+    references.checkReference(s, "zone", "zone", zone == null ? null : zone.value());
+    references.checkReference(s, "model", "model", model == null ? null : model.value());
     if (id != null && role != null && zone != null && url != null) {
       upstreams.add(
           new Upstream(
@@ -211,7 +211,7 @@
     };
   }
 
-  private static UpstreamRole role(String role) {
+  private static UpstreamRole parseRole(String role) {
     return switch (role) {
       case "prefill" -> UpstreamRole.PREFILL;
       case "decode" -> UpstreamRole.DECODE;
@@ -221,7 +221,7 @@
     };
   }
 
-  private static URI url(String text) {
+  private static URI parseUrl(String text) {
     URI uri = URI.create(text);
     String scheme = String.valueOf(uri.getScheme());
     if (uri.getHost() == null || !(scheme.equals("http") || scheme.equals("https"))) {
@@ -230,19 +230,19 @@
     return uri;
   }
 
-  private static void addRoute(TomlSection s, List<Route> routes, ManifestReferences references) {
-    String path = s.required("path", ManifestParser::path);
+  private static void addRoute(TomlSection s, List<Route> routes, DefinedNames references) {
+    String path = s.required("path", ManifestParser::requirePath);
     Set<String> methods = new TreeSet<>();
     s.strings("methods").forEach(m -> methods.add(m.toUpperCase(Locale.ROOT)));
-    List<UpstreamId> upstreams = s.list("upstreams", UpstreamId::new);
-    upstreams.forEach(u -> references.check(s, "upstream", "upstreams", u.value()));
+    List<UpstreamId> upstreams = s.convertedStrings("upstreams", UpstreamId::new);
+    upstreams.forEach(u -> references.checkReference(s, "upstream", "upstreams", u.value()));
     boolean idempotent = s.bool("idempotent", false);
-    @Nullable String outcomePath = s.optional("outcome_path", ManifestParser::path);
+    @Nullable String outcomePath = s.optional("outcome_path", ManifestParser::requirePath);
     if (methods.isEmpty()) {
-      s.finding("missing_key", "methods", "the route has no methods", "add methods");
+      s.addFinding("missing_key", "methods", "the route has no methods", "add methods");
     }
     if (upstreams.isEmpty()) {
-      s.finding("missing_key", "upstreams", "the route has no upstreams", "add upstreams");
+      s.addFinding("missing_key", "upstreams", "the route has no upstreams", "add upstreams");
     }
     if (path != null) {
       methods.forEach(m -> references.define(s, "route", "path", m + " " + path));
@@ -251,7 +251,7 @@
     s.rejectUnknownKeys();
   }
 
-  private static String path(String text) {
+  private static String requirePath(String text) {
     if (!text.startsWith("/") || text.startsWith("/v1/")) {
       throw new IllegalArgumentException(
           "\"" + text + "\" must start with a slash and must not lie under /v1/");
@@ -278,16 +278,16 @@
   }
 
   /** A model without a prefill and a decode engine in one region could never answer. */
-  private static void checkPools(TomlSection root, Manifest manifest) {
+  private static void checkModelsAreServed(TomlSection root, Manifest manifest) {
     for (Model model : manifest.models()) {
       boolean served =
           manifest.regions().stream()
               .anyMatch(
                   r ->
-                      has(manifest, model, r, UpstreamRole::prefills)
-                          && has(manifest, model, r, UpstreamRole::decodes));
+                      hasUpstream(manifest, model, r, UpstreamRole::prefills)
+                          && hasUpstream(manifest, model, r, UpstreamRole::decodes));
       if (!served) {
-        root.finding(
+        root.addFinding(
             "model_without_engines",
             "model",
             "model \"" + model.id() + "\" has no region with both a prefill and a decode engine",
@@ -296,7 +296,7 @@
     }
   }
 
-  private static boolean has(
+  private static boolean hasUpstream(
       Manifest manifest, Model model, Region region, Predicate<UpstreamRole> role) {
     return manifest.upstreams().stream()
         .anyMatch(
--- a/core/src/main/java/org/mustardlatch/core/manifest/Model.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Model.java
@@ -23,7 +23,7 @@
     int memoryPieceTokens,
     boolean reservable) {
   /** Tokens of a piece of KV memory where nothing else is stated. */
-  public static final int USUAL_PIECE_TOKENS = 1000;
+  public static final int DEFAULT_MEMORY_PIECE_TOKENS = 1000;
 
   /** Creates a model whose engines allocate KV memory in pieces of the usual size. */
   public Model(
@@ -38,7 +38,7 @@
         tokenGapTarget,
         maxPromptTokens,
         kvBytesPerToken,
-        USUAL_PIECE_TOKENS,
+        DEFAULT_MEMORY_PIECE_TOKENS,
         false);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/model/HostId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/HostId.java
@@ -8,7 +8,7 @@
 public record HostId(String value) implements Comparable<HostId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public HostId {
-    Identifiers.check("host", value);
+    Identifiers.checkName("host", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/ModelId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/ModelId.java
@@ -8,7 +8,7 @@
 public record ModelId(String value) implements Comparable<ModelId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public ModelId {
-    Identifiers.check("model", value);
+    Identifiers.checkName("model", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/RegionId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/RegionId.java
@@ -8,7 +8,7 @@
 public record RegionId(String value) implements Comparable<RegionId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public RegionId {
-    Identifiers.check("region", value);
+    Identifiers.checkName("region", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/RequestId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/RequestId.java
@@ -8,7 +8,7 @@
 public record RequestId(String value) implements Comparable<RequestId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public RequestId {
-    Identifiers.check("request", value);
+    Identifiers.checkName("request", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/UpstreamId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/UpstreamId.java
@@ -8,7 +8,7 @@
 public record UpstreamId(String value) implements Comparable<UpstreamId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public UpstreamId {
-    Identifiers.check("upstream", value);
+    Identifiers.checkName("upstream", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/WorkspaceId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/WorkspaceId.java
@@ -8,7 +8,7 @@
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public WorkspaceId {
-    Identifiers.check("workspace", value);
+    Identifiers.checkName("workspace", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/model/ZoneId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/ZoneId.java
@@ -8,7 +8,7 @@
 public record ZoneId(String value) implements Comparable<ZoneId> {
   /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
   public ZoneId {
-    Identifiers.check("zone", value);
+    Identifiers.checkName("zone", value);
   }
 
   @Override
--- a/core/src/main/java/org/mustardlatch/core/settings/PeerSecurity.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/PeerSecurity.java
@@ -8,5 +8,5 @@
   record MutualTls(Path certificate, Path key, Path ca) implements PeerSecurity {}
 
   /** No protection; allowed on loopback addresses only. */
-  record Plain() implements PeerSecurity {}
+  record Plaintext() implements PeerSecurity {}
 }
--- a/core/src/main/java/org/mustardlatch/core/settings/Settings.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/Settings.java
@@ -18,8 +18,8 @@
  * @param peerAddress where other daemons connect
  * @param drainDelay time between readiness off and the refusal of new requests
  * @param seeds peer addresses to join through; may be empty
- * @param objectService base URL of the platform's object service
- * @param security how connections between daemons are protected
+ * @param objectServiceUrl base URL of the platform's object service
+ * @param peerSecurity how connections between daemons are protected
  */
 public record Settings(
     HostId host,
@@ -30,8 +30,8 @@
     SocketAddress peerAddress,
     Duration drainDelay,
     List<SocketAddress> seeds,
-    URI objectService,
-    PeerSecurity security) {
+    URI objectServiceUrl,
+    PeerSecurity peerSecurity) {
   /** Copies the list. */
   public Settings {
     seeds = List.copyOf(seeds);
--- a/core/src/main/java/org/mustardlatch/core/settings/SettingsParser.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/SettingsParser.java
@@ -32,13 +32,13 @@
     if (!findings.all().isEmpty()) {
       return ParseResult.invalid(findings.all());
     }
-    Settings settings = read(root);
+    Settings settings = readSettings(root);
     return settings != null && findings.all().isEmpty()
         ? ParseResult.valid(settings)
         : ParseResult.invalid(findings.all());
   }
 
-  private static @Nullable Settings read(TomlSection root) {
+  private static @Nullable Settings readSettings(TomlSection root) {
     TomlSection node = root.section("node");
     HostId host = node.required("host", HostId::new);
     RegionId region = node.required("region", RegionId::new);
@@ -51,7 +51,7 @@
             node.integer("drain_delay_ms", 0, MAX_DRAIN_DELAY_MILLIS, DEFAULT_DRAIN_DELAY_MILLIS));
     node.rejectUnknownKeys();
     TomlSection peerSection = root.section("peers");
-    List<SocketAddress> seeds = peerSection.list("seeds", SocketAddress::parse);
+    List<SocketAddress> seeds = peerSection.convertedStrings("seeds", SocketAddress::parse);
     peerSection.rejectUnknownKeys();
     TomlSection store = root.section("object_service");
     URI objectService = store.required("url", URI::create);
@@ -74,10 +74,10 @@
     String mode = tls.string("mode", "mutual");
     PeerSecurity security =
         switch (mode) {
-          case "plain" -> plain(tls, peers);
-          case "mutual" -> mutual(tls);
+          case "plain" -> readPlaintext(tls, peers);
+          case "mutual" -> readMutualTls(tls);
           default -> {
-            tls.finding(
+            tls.addFinding(
                 "invalid_value", "mode", "mode must be \"mutual\" or \"plain\"", "choose one");
             yield null;
           }
@@ -86,18 +86,18 @@
     return security;
   }
 
-  private static PeerSecurity plain(TomlSection tls, @Nullable SocketAddress peers) {
+  private static PeerSecurity readPlaintext(TomlSection tls, @Nullable SocketAddress peers) {
     if (peers != null && !peers.isLoopback()) {
-      tls.finding(
+      tls.addFinding(
           "plain_not_allowed",
           "mode",
           "plain mode is allowed on loopback addresses only, peer_address is " + peers,
           "give certificate, key and ca");
     }
-    return new PeerSecurity.Plain();
+    return new PeerSecurity.Plaintext();
   }
 
-  private static @Nullable PeerSecurity mutual(TomlSection tls) {
+  private static @Nullable PeerSecurity readMutualTls(TomlSection tls) {
     Path certificate = tls.required("certificate", Path::of);
     Path key = tls.required("key", Path::of);
     Path ca = tls.required("ca", Path::of);
--- a/core/src/main/java/org/mustardlatch/core/time/TimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/TimerService.java
@@ -20,5 +20,5 @@
    * @param task called on the thread of the service, must not block
    * @return the subscription, to end the calls
    */
-  TimerSubscription every(Duration period, Runnable task);
+  TimerSubscription scheduleRepeating(Duration period, Runnable task);
 }
--- a/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
@@ -11,7 +11,7 @@
 public final class VirtualTimerService implements TimerService {
   private final PriorityQueue<Task> tasks = new PriorityQueue<>();
   private long nowNanos;
-  private long scheduled;
+  private long scheduledCount;
 
   @Override
   public long nanos() {
@@ -20,25 +20,25 @@
 
   @Override
   public TimerSubscription schedule(Duration delay, Runnable task) {
-    Task t = new Task(nowNanos + Math.max(0, delay.toNanos()), scheduled++, task);
+    Task t = new Task(nowNanos + Math.max(0, delay.toNanos()), scheduledCount++, task);
     tasks.add(t);
     return () -> tasks.remove(t);
   }
 
   @Override
-  public TimerSubscription every(Duration period, Runnable task) {
+  public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     if (period.isZero() || period.isNegative()) {
       throw new IllegalArgumentException("period must be greater than zero, got " + period);
     }
-    Repeater repeater = new Repeater(period, task);
-    repeater.next = schedule(period, repeater);
+    RepeatingTask repeater = new RepeatingTask(period, task);
+    repeater.nextRun = schedule(period, repeater);
     return repeater;
   }
 
   /** Moves time forward by the given duration and runs every task that becomes due, in order. */
   public void advance(Duration duration) {
     long end = nowNanos + duration.toNanos();
-    while (!tasks.isEmpty() && tasks.peek().atNanos <= end) {
+    while (!tasks.isEmpty() && tasks.peek().dueNanos <= end) {
       runNext();
     }
     nowNanos = end;
@@ -50,26 +50,26 @@
     if (t == null) {
       return false;
     }
-    nowNanos = Math.max(nowNanos, t.atNanos);
-    t.action.run();
+    nowNanos = Math.max(nowNanos, t.dueNanos);
+    t.task.run();
     return true;
   }
 
-  private record Task(long atNanos, long order, Runnable action) implements Comparable<Task> {
+  private record Task(long dueNanos, long sequenceNumber, Runnable task) implements Comparable<Task> {
     @Override
     public int compareTo(Task other) {
-      int byTime = Long.compare(atNanos, other.atNanos);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byTime = Long.compare(dueNanos, other.dueNanos);
+      return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
-  private final class Repeater implements Runnable, TimerSubscription {
+  private final class RepeatingTask implements Runnable, TimerSubscription {
     private final Duration period;
     private final Runnable task;
-    private TimerSubscription next = () -> {};
+    private TimerSubscription nextRun = () -> {};
     private boolean cancelled;
 
-    Repeater(Duration period, Runnable task) {
+    RepeatingTask(Duration period, Runnable task) {
       this.period = period;
       this.task = task;
     }
@@ -78,14 +78,14 @@
     public void run() {
       task.run();
       if (!cancelled) {
-        next = schedule(period, this);
+        nextRun = schedule(period, this);
       }
     }
 
     @Override
     public void cancel() {
       cancelled = true;
-      next.cancel();
+      nextRun.cancel();
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/toml/TomlFindings.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/TomlFindings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.error.Finding;
-import org.mustardlatch.core.error.Place;
+import org.mustardlatch.core.error.SourceLocation;
 import org.tomlj.TomlPosition;
 
 /** Collects the findings of one TOML file. */
@@ -25,7 +25,7 @@
   public void add(String code, @Nullable TomlPosition position, String message, String remedy) {
     int line = position == null ? 1 : position.line();
     int column = position == null ? 1 : position.column();
-    findings.add(new Finding(code, new Place(file, line, column), message, remedy));
+    findings.add(new Finding(code, new SourceLocation(file, line, column), message, remedy));
   }
 
   /** Returns the findings in the order in which they were added. */
--- a/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
@@ -21,7 +21,7 @@
   private final TomlTable table;
   private final @Nullable TomlPosition position;
   private final TomlFindings findings;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> readKeys = new HashSet<>();
 
   private TomlSection(
       String name, TomlTable table, @Nullable TomlPosition position, TomlFindings findings) {
@@ -58,38 +58,38 @@
   }
 
   /** Adds a finding at a key. */
-  public void finding(String code, String key, String message, String remedy) {
+  public void addFinding(String code, String key, String message, String remedy) {
     findings.add(code, positionOf(key), message, remedy);
   }
 
   /** Reads a table; an absent one counts as empty. */
   public TomlSection section(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value instanceof TomlTable t) {
       return new TomlSection(key, t, positionOf(key), findings);
     }
     if (value != null) {
-      wrongType(key, "a table");
+      reportWrongType(key, "a table");
     }
     return new TomlSection(key, Toml.parse(""), position, findings);
   }
 
   /** Reads an array of tables; an absent one counts as empty. */
   public List<TomlSection> sections(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     List<TomlSection> sections = new ArrayList<>();
     if (value == null) {
       return sections;
     }
     if (!(value instanceof TomlArray array)) {
-      wrongType(key, "an array of tables");
+      reportWrongType(key, "an array of tables");
       return sections;
     }
     for (int i = 0; i < array.size(); i++) {
       if (array.get(i) instanceof TomlTable t) {
         sections.add(new TomlSection(key, t, array.inputPositionOf(i), findings));
       } else {
-        wrongType(key, "an array of tables");
+        reportWrongType(key, "an array of tables");
       }
     }
     return sections;
@@ -99,21 +99,21 @@
   public String requiredString(String key) {
     String value = string(key, "");
     if (!has(key)) {
-      missing(key);
+      reportMissing(key);
     }
     return value;
   }
 
   /** Reads a string, or returns the default when it is absent. */
   public String string(String key, String defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (value instanceof String s) {
       return s;
     }
-    wrongType(key, "a string");
+    reportWrongType(key, "a string");
     return defaultValue;
   }
 
@@ -131,27 +131,27 @@
 
   /** Reads an array of strings; an absent one counts as empty. */
   public List<String> strings(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     List<String> strings = new ArrayList<>();
     if (value == null) {
       return strings;
     }
     if (!(value instanceof TomlArray array)) {
-      wrongType(key, "an array of strings");
+      reportWrongType(key, "an array of strings");
       return strings;
     }
     for (int i = 0; i < array.size(); i++) {
       if (array.get(i) instanceof String s) {
         strings.add(s);
       } else {
-        wrongType(key, "an array of strings");
+        reportWrongType(key, "an array of strings");
       }
     }
     return strings;
   }
 
   /** Reads an array of strings and converts each; elements with a fault are left out. */
-  public <T> List<T> list(String key, Function<String, T> conversion) {
+  public <T> List<T> convertedStrings(String key, Function<String, T> conversion) {
     List<T> values = new ArrayList<>();
     for (String s : strings(key)) {
       T value = convert(key, s, conversion);
@@ -165,8 +165,8 @@
   /** Reads an integer that must be there and lie in the range; returns min after a finding. */
   public long requiredInteger(String key, long min, long max) {
     if (!has(key)) {
-      known.add(key);
-      missing(key);
+      readKeys.add(key);
+      reportMissing(key);
       return min;
     }
     return integer(key, min, max, min);
@@ -174,16 +174,16 @@
 
   /** Reads an integer in the range, or returns the default when it is absent. */
   public long integer(String key, long min, long max, long defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (!(value instanceof Long n)) {
-      wrongType(key, "an integer");
+      reportWrongType(key, "an integer");
       return defaultValue;
     }
     if (n < min || n > max) {
-      outOfRange(key, n, min, max);
+      reportOutOfRange(key, n, min, max);
       return defaultValue;
     }
     return n;
@@ -191,17 +191,17 @@
 
   /** Reads a number in the range, or returns the default when it is absent. */
   public double number(String key, double min, double max, double defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (!(value instanceof Number n)) {
-      wrongType(key, "a number");
+      reportWrongType(key, "a number");
       return defaultValue;
     }
     double d = n.doubleValue();
     if (!(d >= min && d <= max)) {
-      outOfRange(key, n, min, max);
+      reportOutOfRange(key, n, min, max);
       return defaultValue;
     }
     return d;
@@ -209,22 +209,22 @@
 
   /** Reads a boolean, or returns the default when it is absent. */
   public boolean bool(String key, boolean defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (value instanceof Boolean b) {
       return b;
     }
-    wrongType(key, "true or false");
+    reportWrongType(key, "true or false");
     return defaultValue;
   }
 
   /** Adds a finding for every key that was not read. */
   public void rejectUnknownKeys() {
     for (String key : table.keySet()) {
-      if (!known.contains(key)) {
-        finding(
+      if (!readKeys.contains(key)) {
+        addFinding(
             "unknown_key",
             key,
             "unknown key \"" + key + "\" in " + name,
@@ -233,8 +233,8 @@
     }
   }
 
-  private @Nullable Object value(String key) {
-    known.add(key);
+  private @Nullable Object readValue(String key) {
+    readKeys.add(key);
     return table.get(List.of(key));
   }
 
@@ -242,21 +242,21 @@
     try {
       return conversion.apply(text);
     } catch (IllegalArgumentException e) {
-      finding("invalid_value", key, key + ": " + e.getMessage(), "correct the value");
+      addFinding("invalid_value", key, key + ": " + e.getMessage(), "correct the value");
       return null;
     }
   }
 
-  private void missing(String key) {
-    finding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add it");
+  private void reportMissing(String key) {
+    addFinding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add it");
   }
 
-  private void wrongType(String key, String expected) {
-    finding("wrong_type", key, key + " must be " + expected, "correct the value");
+  private void reportWrongType(String key, String expected) {
+    addFinding("wrong_type", key, key + " must be " + expected, "correct the value");
   }
 
-  private void outOfRange(String key, Number value, Number min, Number max) {
-    finding(
+  private void reportOutOfRange(String key, Number value, Number min, Number max) {
+    addFinding(
         "out_of_range",
         key,
         key + " is " + value + ", must be from " + min + " to " + max,
--- a/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
@@ -71,9 +71,9 @@
     fleet.time.schedule(
         Duration.ofNanos(phase),
         () -> {
-          timers.add(fleet.time.every(Membership.TICK_PERIOD, () -> runOrDefer(this::tick)));
+          timers.add(fleet.time.scheduleRepeating(Membership.TICK_PERIOD, () -> runOrDefer(this::tick)));
           timers.add(
-              fleet.time.every(
+              fleet.time.scheduleRepeating(
                   BudgetClient.TICK_PERIOD,
                   () -> {
                     if (running && !paused && budgetClient.hasWaitingSpends()) {
--- a/core/src/test/java/org/mustardlatch/core/manifest/ManifestParserTest.java
+++ b/core/src/test/java/org/mustardlatch/core/manifest/ManifestParserTest.java
@@ -20,12 +20,12 @@
 
   private static List<String> findings(String text) {
     return ManifestParser.parse("m.toml", text).findings().stream()
-        .map(f -> f.place().line() + ":" + f.place().column() + " " + f.code())
+        .map(f -> f.location().line() + ":" + f.location().column() + " " + f.code())
         .toList();
   }
 
   @Test
-  void exampleIsReadWhole() throws IOException {
+  void exampleManifestIsParsedCompletely() throws IOException {
     Manifest m = ManifestParser.parse("m.toml", example()).orThrow(ErrorCode.MANIFEST_INVALID);
     assertThat(m.objective()).isEqualTo(Objective.WASTE_AVERSE);
     assertThat(m.upstreams()).hasSize(4);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void allFaultsAreReportedTogetherWithTheirPlaces() {
+  void allFaultsAreReportedTogetherWithTheirLocations() {
     String text =
         """
         [manifest]
@@ -67,27 +67,27 @@
   }
 
   @Test
-  void syntaxErrorIsReportedWithItsPlace() {
+  void syntaxErrorIsReportedWithItsLocation() {
     List<String> found = findings("[manifest]\nname = \n");
     assertThat(found).containsExactly("2:8 toml_syntax");
   }
 
   @Test
-  void modelThatNoRegionCanServeIsRefused() throws IOException {
+  void modelThatNoRegionCanServeIsRejected() throws IOException {
     String text = example().replace("role = \"prefill\"", "role = \"decode\"");
     assertThat(findings(text.replace("prefill_tokens_per_second = 8000\n", "")))
         .containsExactly("27:1 model_without_engines");
   }
 
   @Test
-  void routeIsNotIdempotentUnlessTheManifestSaysSo() throws IOException {
+  void routeIsNotIdempotentByDefault() throws IOException {
     String text = example().replace("idempotent = true\n", "");
     Manifest m = ManifestParser.parse("m.toml", text).orThrow(ErrorCode.MANIFEST_INVALID);
     assertThat(m.routes().get(1).idempotent()).isFalse();
   }
 
   @Test
-  void findingNamesPlaceCodeAndRemedy() {
+  void findingTextContainsLocationCodeAndRemedy() {
     ParseResult<Manifest> result = ManifestParser.parse("m.toml", "[manifest]\nname = 3\n");
     Finding first = result.findings().get(0);
     assertThat(first.toString())
@@ -97,13 +97,13 @@
   }
 
   @Test
-  void differenceListsAddedRemovedAndChangedEntries() throws IOException {
+  void diffListsAddedRemovedAndChangedEntries() throws IOException {
     Manifest before = ManifestParser.parse("m", example()).orThrow(ErrorCode.MANIFEST_INVALID);
     String text =
         example().replace("name = \"decode-2\"", "name = \"decode-3\"").replace("500", "600");
     Manifest after = ManifestParser.parse("m", text).orThrow(ErrorCode.MANIFEST_INVALID);
     List<String> changes =
-        ManifestDiff.between(before, after).changes().stream()
+        ManifestDiff.compare(before, after).changes().stream()
             .map(c -> c.kind() + " " + c.entry())
             .toList();
     assertThat(changes)
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
@@ -89,7 +89,7 @@
     nodes.add(node);
     node.handle(new OrderManagerEvent.DesiredStatesChanged(desiredStates, 2, 1));
     node.handle(new OrderManagerEvent.LeaseEventReceived(new LeaseEvent.CandidacyChanged(true)));
-    time.every(
+    time.scheduleRepeating(
         Duration.ofSeconds(3),
         () -> node.run(() -> node.handle(new OrderManagerEvent.RefreshRequested())));
   }
--- a/core/src/test/java/org/mustardlatch/core/settings/SettingsParserTest.java
+++ b/core/src/test/java/org/mustardlatch/core/settings/SettingsParserTest.java
@@ -18,20 +18,20 @@
 
   private static List<String> findings(String text) {
     return SettingsParser.parse("s.toml", text).findings().stream()
-        .map(f -> f.place().line() + " " + f.code())
+        .map(f -> f.location().line() + " " + f.code())
         .toList();
   }
 
   @Test
-  void exampleIsReadWhole() throws IOException {
+  void exampleSettingsAreParsedCompletely() throws IOException {
     Settings s = SettingsParser.parse("s", example()).orThrow(ErrorCode.SETTINGS_INVALID);
     assertThat(s.callerAddress()).isEqualTo(new SocketAddress("127.0.0.1", 8080));
     assertThat(s.drainDelay()).isEqualTo(Duration.ofSeconds(3));
-    assertThat(s.security()).isEqualTo(new PeerSecurity.Plain());
+    assertThat(s.peerSecurity()).isEqualTo(new PeerSecurity.Plaintext());
   }
 
   @Test
-  void plainModeIsRefusedOutsideLoopback() throws IOException {
+  void plaintextModeIsRejectedOnNonLoopbackAddresses() throws IOException {
     assertThat(findings(example().replace("127.0.0.1:8082", "10.0.0.1:8082")))
         .containsExactly("19 plain_not_allowed");
   }
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void hostNamesAndBadPortsAreNotAddresses() throws IOException {
+  void hostNamesAndInvalidPortsAreRejected() throws IOException {
     assertThat(findings(example().replace("127.0.0.1:8080", "localhost:8080")))
         .containsExactly("7 invalid_value");
     assertThat(findings(example().replace("127.0.0.1:8080", "127.0.0.1:80800")))
--- a/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void tasksRunInOrderOfTimeAndThenOfScheduling() {
+  void tasksRunInOrderOfDueTimeAndThenOfScheduling() {
     timers.schedule(Duration.ofMillis(20), () -> record("late"));
     timers.schedule(Duration.ofMillis(10), () -> record("first"));
     timers.schedule(Duration.ofMillis(10), () -> record("second"));
@@ -35,10 +35,10 @@
   }
 
   @Test
-  void repeatedTaskRunsEachPeriodUntilItCancelsItself() {
+  void repeatingTaskRunsEveryPeriodUntilItCancelsItself() {
     List<TimerSubscription> own = new ArrayList<>();
     own.add(
-        timers.every(
+        timers.scheduleRepeating(
             Duration.ofMillis(10),
             () -> {
               record("tick");
@@ -51,10 +51,10 @@
   }
 
   @Test
-  void periodOfZeroIsRefused() {
+  void zeroPeriodIsRejected() {
     IllegalArgumentException e =
         assertThrows(
-            IllegalArgumentException.class, () -> timers.every(Duration.ZERO, () -> record("x")));
+            IllegalArgumentException.class, () -> timers.scheduleRepeating(Duration.ZERO, () -> record("x")));
     assertThat(e).hasMessageThat().isEqualTo("period must be greater than zero, got PT0S");
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -88,7 +88,7 @@
             settings.region(),
             incarnation,
             RandomGenerator.of("L64X128MixRandom"));
-    store = new ObjectStoreClient(settings.objectService(), ObjectStoreTimeouts.DEFAULT, loop);
+    store = new ObjectStoreClient(settings.objectServiceUrl(), ObjectStoreTimeouts.DEFAULT, loop);
     manifests = new ManifestService(new ManifestStore(store, loop, random), peers.service(), loop);
     ledger =
         new LedgerService(
--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -109,14 +109,14 @@
         new InetSocketAddress(settings.peerAddress().ip(), settings.peerAddress().port()),
         null,
         settings.seeds().stream().map(SocketAddress::toString).toList(),
-        tls(settings.security()),
+        tls(settings.peerSecurity()),
         null);
   }
 
   private static @Nullable TlsFiles tls(PeerSecurity security) {
     return switch (security) {
       case PeerSecurity.MutualTls t -> new TlsFiles(t.certificate(), t.key(), t.ca());
-      case PeerSecurity.Plain p -> null;
+      case PeerSecurity.Plaintext p -> null;
     };
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -82,7 +82,7 @@
 
   /** Starts the periodic removal of shards that are not used. */
   public void start() {
-    loop.every(DROP_IDLE_SHARDS, node::dropIdleShards);
+    loop.scheduleRepeating(DROP_IDLE_SHARDS, node::dropIdleShards);
   }
 
   /**
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public TimerSubscription every(Duration period, Runnable task) {
+  public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     ScheduledFuture<?> future =
         executor.scheduleWithFixedDelay(
             guarded(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HostListService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HostListService.java
@@ -50,7 +50,7 @@
   @Override
   public synchronized void watchManifest(boolean watch) {
     subscription.cancel();
-    subscription = watch ? timers.every(PERIOD, this::read) : () -> {};
+    subscription = watch ? timers.scheduleRepeating(PERIOD, this::read) : () -> {};
   }
 
   /** Stops reading. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
@@ -123,7 +123,7 @@
       return "it can't be read";
     }
     Manifest before = result.orThrow(ErrorCode.MANIFEST_INVALID);
-    List<ManifestDiff.Change> changes = ManifestDiff.between(before, offered).changes();
+    List<ManifestDiff.Change> changes = ManifestDiff.compare(before, offered).changes();
     if (changes.isEmpty()) {
       return "it already has the content of the offered manifest";
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
@@ -58,7 +58,7 @@
   public synchronized void start(InetSocketAddress address) {
     String text = address.getAddress().getHostAddress() + ":" + address.getPort();
     step(text);
-    subscription = timers.every(PERIOD, () -> step(text));
+    subscription = timers.scheduleRepeating(PERIOD, () -> step(text));
   }
 
   /** Ends the tries. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -62,7 +62,7 @@
 
   /** Starts reading. */
   public void start() {
-    subscription = timers.every(TICK, this::tick);
+    subscription = timers.scheduleRepeating(TICK, this::tick);
   }
 
   /** Stops reading. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/NettyTimerService.java
@@ -31,7 +31,7 @@
   }
 
   @Override
-  public TimerSubscription every(Duration period, Runnable task) {
+  public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     long nanos = period.toNanos();
     ScheduledFuture<?> f =
         loop.scheduleWithFixedDelay(guarded(task), nanos, nanos, TimeUnit.NANOSECONDS);
--- a/replay/src/main/java/org/mustardlatch/replay/ReplayDriver.java
+++ b/replay/src/main/java/org/mustardlatch/replay/ReplayDriver.java
@@ -89,8 +89,8 @@
     }
     reportLoads();
     listHeld();
-    timers.every(REPORT_PERIOD, this::reportLoads);
-    timers.every(LISTING_PERIOD, this::listHeld);
+    timers.scheduleRepeating(REPORT_PERIOD, this::reportLoads);
+    timers.scheduleRepeating(LISTING_PERIOD, this::listHeld);
     while (callers.isBusy()) {
       timers.runNext();
     }
--- a/replay/src/main/java/org/mustardlatch/replay/TraceFields.java
+++ b/replay/src/main/java/org/mustardlatch/replay/TraceFields.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.error.Finding;
-import org.mustardlatch.core.error.Place;
+import org.mustardlatch.core.error.SourceLocation;
 import org.mustardlatch.core.model.ModelId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.WorkspaceId;
@@ -161,7 +161,7 @@
   }
 
   private void add(String code, int column, String message) {
-    findings.add(new Finding(code, new Place(file, line, column), message, "see docs/TRACES.md"));
+    findings.add(new Finding(code, new SourceLocation(file, line, column), message, "see docs/TRACES.md"));
   }
 
   /** A value with the column of its field name, 1 for the first. */
--- a/replay/src/main/java/org/mustardlatch/replay/TraceParser.java
+++ b/replay/src/main/java/org/mustardlatch/replay/TraceParser.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.mustardlatch.core.error.Finding;
 import org.mustardlatch.core.error.ParseResult;
-import org.mustardlatch.core.error.Place;
+import org.mustardlatch.core.error.SourceLocation;
 
 /** Reads traces in the format of {@code docs/TRACES.md}. */
 public final class TraceParser {
@@ -87,7 +87,7 @@
     findings.add(
         new Finding(
             "malformed_line",
-            new Place(file, line, column),
+            new SourceLocation(file, line, column),
             message,
             "write one JSON object with simple values on the line"));
   }
--- a/replay/src/test/java/org/mustardlatch/replay/TraceParserTest.java
+++ b/replay/src/test/java/org/mustardlatch/replay/TraceParserTest.java
@@ -35,7 +35,7 @@
             "{\"type\":\"crest\",\"at_ms\":{}}",
             CREST + CREST);
     List<Finding> findings = TraceParser.parse("t", text).findings();
-    assertThat(findings.stream().map(f -> f.place() + " " + f.code()).toList())
+    assertThat(findings.stream().map(f -> f.location() + " " + f.code()).toList())
         .containsExactly(
             "t:1:43 unknown_field",
             "t:3:27 invalid_value",
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -99,9 +99,9 @@
             ? options.advertised()
             : bound.getAddress().getHostAddress() + ":" + bound.getPort();
     tasks.onNext(() -> join(address));
-    ticks = timers.every(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
+    ticks = timers.scheduleRepeating(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
     budgetTicks =
-        timers.every(
+        timers.scheduleRepeating(
             BudgetClient.TICK_PERIOD, () -> tasks.onNext(() -> budgets.tick(timers.nanos())));
     return bound;
   }
--- a/wire/src/test/java/org/mustardlatch/wire/SystemTimers.java
+++ b/wire/src/test/java/org/mustardlatch/wire/SystemTimers.java
@@ -31,7 +31,7 @@
 
   /** The first call comes after a random part of the period, so that nodes are not in step. */
   @Override
-  public TimerSubscription every(Duration period, Runnable task) {
+  public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     long first = ThreadLocalRandom.current().nextLong(period.toNanos());
     ScheduledFuture<?> f =
         executor.scheduleAtFixedRate(task, first, period.toNanos(), TimeUnit.NANOSECONDS);
