--- a/cli/src/main/java/org/mustardlatch/cli/Command.java
+++ b/cli/src/main/java/org/mustardlatch/cli/Command.java
@@ -5,7 +5,8 @@
   /**
    * Runs the command.
    *
-   * @return the exit code, see {@link ExitCode}
+   * @param console receives results and errors
+   * @return the exit code, one of {@link ExitCode}
    */
   int run(Console console);
 }
--- a/cli/src/main/java/org/mustardlatch/cli/CommandException.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandException.java
@@ -1,6 +1,8 @@
 package org.mustardlatch.cli;
 
-/** A command could not be carried out. */
+/**
+ * A failure of a command, with what the console prints about it and the exit code of the process.
+ */
 final class CommandException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/org/mustardlatch/cli/CommandHelp.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandHelp.java
@@ -1,14 +1,15 @@
 package org.mustardlatch.cli;
 
-/** Commands with the lines that the help shows. */
+/** The commands with the synopsis and the summary that the help text shows. */
 enum CommandHelp {
   MANIFEST_CHECK("manifest check FILE", "check a manifest and print every finding"),
-  MANIFEST_PUBLISH("manifest publish FILE --base N", "publish a manifest on top of revision N"),
-  MANIFEST_DIFF("manifest diff FILE [FILE]", "compare two files, or the one in force with a file"),
+  MANIFEST_PUBLISH("manifest publish FILE --base N", "publish a manifest that replaces revision N"),
+  MANIFEST_DIFF(
+      "manifest diff FILE [FILE]", "compare two files, or the active manifest with a file"),
   STATUS("status", "print revision, members and readiness of a daemon"),
   DUMP("dump", "print the full state of a daemon as JSON"),
-  DRAIN("drain", "ask a daemon for a graceful stop"),
-  EXPLAIN("explain REQUEST-ID", "print why a request went where it went"),
+  DRAIN("drain", "stop a daemon gracefully"),
+  EXPLAIN("explain REQUEST-ID", "print the routing decisions about a request"),
   REPLAY("replay TRACE --manifest M", "replay a trace through the routing decisions"),
   GENERATE("generate KIND --out FILE", "write a synthetic trace"),
   COMPARE("compare --user U", "compare the policy with the baselines");
--- a/cli/src/main/java/org/mustardlatch/cli/Console.java
+++ b/cli/src/main/java/org/mustardlatch/cli/Console.java
@@ -3,15 +3,15 @@
 import java.io.PrintStream;
 
 /**
- * Where a command prints.
+ * The output streams of a command.
  *
- * @param out results
- * @param err errors
+ * @param out stream for results
+ * @param err stream for errors
  */
 record Console(PrintStream out, PrintStream err) {
-  /** Prints an error with its code, its place and what to do about it. */
-  void error(String code, String place, String message, String remedy) {
-    err.println("error " + code + " at " + place + ": " + message);
+  /** Prints an error with its code, its location and its remedy. */
+  void error(String code, String location, String message, String remedy) {
+    err.println("error " + code + " at " + location + ": " + message);
     err.println("remedy: " + remedy);
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/DocumentCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/DocumentCommand.java
@@ -3,12 +3,12 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** A command that prints one document of a daemon. */
+/** A command that fetches one JSON document from a daemon and prints it. */
 public abstract class DocumentCommand implements Command {
   @Option(name = "--node", metaVar = "URL", usage = "operator address of the daemon")
   String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
-  /** Returns the path of the document on the operator address. */
+  /** Returns the URL path of the document in the operator interface. */
   abstract String documentPath();
 
   @Override
@@ -17,7 +17,7 @@
     return ExitCode.OK;
   }
 
-  /** Prints revision, members and readiness. */
+  /** Prints the manifest revision, the members and the readiness of a daemon. */
   public static final class Status extends DocumentCommand {
     @Override
     String documentPath() {
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Prints the full state. */
+  /** Prints the full state of a daemon. */
   public static final class Dump extends DocumentCommand {
     @Override
     String documentPath() {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Prints the decisions about one request. */
+  /** Prints the routing decisions about one request. */
   public static final class Explain extends DocumentCommand {
     @Argument(required = true, metaVar = "REQUEST-ID", usage = "value of X-Request-Id")
     String requestId = "";
--- a/cli/src/main/java/org/mustardlatch/cli/DrainCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/DrainCommand.java
@@ -2,7 +2,7 @@
 
 import org.kohsuke.args4j.Option;
 
-/** Asks a daemon for a graceful stop. */
+/** Stops a daemon gracefully: it finishes its requests and accepts no new ones. */
 public final class DrainCommand implements Command {
   @Option(name = "--node", metaVar = "URL", usage = "operator address of the daemon")
   String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
--- a/cli/src/main/java/org/mustardlatch/cli/Main.java
+++ b/cli/src/main/java/org/mustardlatch/cli/Main.java
@@ -10,13 +10,15 @@
 
 /** Entry point of the command-line tool. */
 public final class Main {
-  private static final ParserProperties PARSER_PROPERTIES = ParserProperties.defaults().withUsageWidth(100);
+  private static final ParserProperties PARSER_PROPERTIES =
+      ParserProperties.defaults().withUsageWidth(100);
 
+  /** Commands that the replay module parses and runs itself. */
   private static final Set<String> REPLAY_COMMANDS = Set.of("replay", "generate", "compare");
 
   private Main() {}
 
-  /** Runs one command and exits with its code, see {@link ExitCode}. */
+  /** Runs one command and exits with its exit code, one of {@link ExitCode}. */
   public static void main(String[] args) {
     System.exit(run(args, System.out, System.err));
   }
@@ -26,8 +28,8 @@
    *
    * @param args the command line
    * @param out receives results
-   * @param err receives errors, each with a code, a place and a remedy
-   * @return the exit code, see {@link ExitCode}
+   * @param err receives errors, each with a code, a location and a remedy
+   * @return the exit code, one of {@link ExitCode}
    */
   static int run(String[] args, PrintStream out, PrintStream err) {
     if (args.length > 0 && REPLAY_COMMANDS.contains(args[0])) {
@@ -61,7 +63,8 @@
     try {
       return command.run(console);
     } catch (MustardlatchException e) {
-      console.error(e.code().wireName(), "command", String.valueOf(e.getMessage()), "see above");
+      console.error(
+          e.code().wireName(), "command", String.valueOf(e.getMessage()), "see the message");
       return ExitCode.FAILED;
     } catch (CommandException e) {
       console.error(e.code(), e.location(), String.valueOf(e.getMessage()), e.remedy());
@@ -72,11 +75,11 @@
   private static void printHelp(CmdLineParser parser, PrintStream stream) {
     stream.println("usage: mustardlatch [--help] [--version] COMMAND [OPTIONS]");
     stream.println();
-    for (CommandHelp name : CommandHelp.values()) {
-      stream.printf("  %-44s %s%n", name.synopsis(), name.summary());
+    for (CommandHelp command : CommandHelp.values()) {
+      stream.printf("  %-44s %s%n", command.synopsis(), command.summary());
     }
     stream.println();
-    stream.println("exit codes: 0 done, 1 refused or failed, 2 usage, 3 outcome unknown");
+    stream.println("exit codes: 0 success, 1 refused or failed, 2 usage error, 3 outcome unknown");
     stream.println();
     parser.printUsage(stream);
   }
--- a/cli/src/main/java/org/mustardlatch/cli/MainOptions.java
+++ b/cli/src/main/java/org/mustardlatch/cli/MainOptions.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** Options before the command, and the command. */
+/** The global options and the command of a command line. */
 final class MainOptions {
   @Option(name = "--help", aliases = "-h", help = true, usage = "print this help")
   boolean help;
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestCheckCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestCheckCommand.java
@@ -3,7 +3,7 @@
 import org.kohsuke.args4j.Argument;
 import org.mustardlatch.core.manifest.Manifest;
 
-/** Checks a manifest file without a daemon. */
+/** Validates a manifest file locally, without a daemon. */
 public final class ManifestCheckCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
   String file = "";
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestCommand.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The group of commands about manifests. */
+/** The {@code manifest} group of commands. */
 public final class ManifestCommand implements Command {
   @Argument(required = true, handler = SubCommandHandler.class, metaVar = "check|publish|diff")
   @SubCommands({
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
@@ -7,12 +7,15 @@
 import org.mustardlatch.core.manifest.ManifestDiff;
 import org.mustardlatch.core.manifest.ManifestParser;
 
-/** Compares two manifest files, or the manifest in force with a file. */
+/** Compares two manifest files, or the active manifest with a file. */
 public final class ManifestDiffCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
   String firstFile = "";
 
-  @Argument(index = 1, metaVar = "FILE", usage = "newer manifest; without it, the one in force")
+  @Argument(
+      index = 1,
+      metaVar = "FILE",
+      usage = "newer manifest; if absent, the first file is compared with the active manifest")
   String secondFile = "";
 
   @Option(name = "--node", metaVar = "URL", usage = "operator address of any daemon")
@@ -20,18 +23,20 @@
 
   @Override
   public int run(Console console) {
-    Manifest given = ManifestFile.read(firstFile).manifestOrPrintFindings(console);
-    if (given == null) {
+    Manifest firstManifest = ManifestFile.read(firstFile).manifestOrPrintFindings(console);
+    if (firstManifest == null) {
       return ExitCode.FAILED;
     }
     if (!secondFile.isEmpty()) {
-      Manifest newer = ManifestFile.read(secondFile).manifestOrPrintFindings(console);
-      return newer == null ? ExitCode.FAILED : print(console, given, newer);
+      Manifest secondManifest = ManifestFile.read(secondFile).manifestOrPrintFindings(console);
+      return secondManifest == null
+          ? ExitCode.FAILED
+          : print(console, firstManifest, secondManifest);
     }
-    String inForce = new OperatorClient(nodeUrl).fetchManifestText();
-    Manifest older =
-        ManifestParser.parse("manifest in force", inForce).orThrow(ErrorCode.MANIFEST_INVALID);
-    return print(console, older, given);
+    String activeText = new OperatorClient(nodeUrl).fetchManifestText();
+    Manifest activeManifest =
+        ManifestParser.parse("active manifest", activeText).orThrow(ErrorCode.MANIFEST_INVALID);
+    return print(console, activeManifest, firstManifest);
   }
 
   private static int print(Console console, Manifest before, Manifest after) {
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestFile.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestFile.java
@@ -11,16 +11,16 @@
 import org.mustardlatch.core.manifest.ManifestParser;
 
 /**
- * A manifest file that was read.
+ * The content of a manifest file.
  *
- * @param text its text
- * @param parseResult the manifest or its findings
+ * @param text text of the file
+ * @param parseResult the parsed manifest, or its findings if it is invalid
  */
 record ManifestFile(String text, ParseResult<Manifest> parseResult) {
   /**
-   * Reads a file.
+   * Reads and parses a file.
    *
-   * @throws CommandException when the file can't be read as UTF-8 text
+   * @throws CommandException if the file can't be read as UTF-8 text
    */
   static ManifestFile read(String file) {
     String text;
@@ -31,13 +31,13 @@
           "unreadable_file",
           file,
           "cannot read the file: " + e,
-          "give a readable file in UTF-8",
+          "specify a readable UTF-8 file",
           ExitCode.FAILED);
     }
     return new ManifestFile(text, ManifestParser.parse(file, text));
   }
 
-  /** Prints every finding; returns the manifest, or null when there are findings. */
+  /** Returns the manifest, or prints every finding and returns null if the manifest is invalid. */
   @Nullable Manifest manifestOrPrintFindings(Console console) {
     parseResult
         .findings()
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
@@ -4,7 +4,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Publishes a manifest through a daemon. */
+/** Publishes a manifest to the fleet through the operator interface of any daemon. */
 public final class ManifestPublishCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
   String file = "";
@@ -21,12 +21,12 @@
 
   @Override
   public int run(Console console) {
-    ManifestFile manifest = ManifestFile.read(file);
-    if (manifest.manifestOrPrintFindings(console) == null) {
+    ManifestFile manifestFile = ManifestFile.read(file);
+    if (manifestFile.manifestOrPrintFindings(console) == null) {
       return ExitCode.FAILED;
     }
-    JsonNode answer = new OperatorClient(nodeUrl).publish(manifest.text(), baseRevision);
-    console.out().println("accepted as revision " + answer.path("revision").asLong());
+    JsonNode response = new OperatorClient(nodeUrl).publish(manifestFile.text(), baseRevision);
+    console.out().println("accepted as revision " + response.path("revision").asLong());
     return ExitCode.OK;
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
+++ b/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
@@ -13,9 +13,9 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Calls the operator interface of a daemon. */
+/** HTTP client of the operator interface of one daemon. */
 final class OperatorClient {
-  /** Operator address of the example settings. */
+  /** Operator address of the daemon in the example settings. */
   static final String DEFAULT_NODE_URL = "http://127.0.0.1:8081";
 
   private static final MediaType TOML = MediaType.get("application/toml; charset=utf-8");
@@ -30,19 +30,25 @@
     this.nodeUrl = node;
   }
 
-  /** Publishes a manifest on top of a base revision; returns the daemon's answer. */
-  JsonNode publish(String text, long base) {
-    HttpUrl url = url("/manifest").newBuilder().addQueryParameter("base", "" + base).build();
+  /**
+   * Publishes a manifest and returns the response of the daemon.
+   *
+   * @param text manifest in TOML
+   * @param baseRevision revision that the manifest replaces; 0 for the first
+   */
+  JsonNode publish(String text, long baseRevision) {
+    HttpUrl url =
+        url("/manifest").newBuilder().addQueryParameter("base", "" + baseRevision).build();
     Request request = new Request.Builder().url(url).post(RequestBody.create(text, TOML)).build();
-    return parseJson(execute(request, "run \"mustardlatch status\" to see the revision in force"));
+    return parseJson(execute(request, "run \"mustardlatch status\" to see the active revision"));
   }
 
-  /** Returns the text of the manifest in force. */
+  /** Fetches the text of the active manifest. */
   String fetchManifestText() {
     return get("/manifest");
   }
 
-  /** Asks for a graceful stop. */
+  /** Requests a graceful stop of the daemon. */
   void drain() {
     Request request =
         new Request.Builder()
@@ -52,7 +58,7 @@
     execute(request, "run \"mustardlatch status\" to see whether the daemon drains");
   }
 
-  /** Returns a JSON document, indented. */
+  /** Fetches a JSON document and returns it indented. */
   String fetchDocument(String path) {
     return parseJson(get(path)).toPrettyString();
   }
@@ -68,12 +74,17 @@
           "invalid_argument",
           "--node",
           "\"" + nodeUrl + "\" is not an http URL",
-          "give the operator address of a daemon, for example " + DEFAULT_NODE_URL,
+          "specify the operator address of a daemon, for example " + DEFAULT_NODE_URL,
           ExitCode.USAGE);
     }
     return base.newBuilder().encodedPath(path).build();
   }
 
+  /**
+   * Sends a request and returns the body of a successful response.
+   *
+   * @param remedyWhenUnknown remedy for the case that the daemon may have executed the request
+   */
   private String execute(Request request, String remedyWhenUnknown) {
     try (Response response = http.newCall(request).execute()) {
       String body = response.body().string();
@@ -85,19 +96,20 @@
       throw new CommandException(
           "unreachable",
           request.url().toString(),
-          "no daemon answers: " + e.getMessage(),
-          "check --node and that the daemon runs",
+          "cannot connect to the daemon: " + e.getMessage(),
+          "check --node and that the daemon is running",
           ExitCode.FAILED);
     } catch (IOException e) {
       throw new CommandException(
           "outcome_unknown",
           request.url().toString(),
-          "the connection broke before an answer came: " + e.getMessage(),
+          "the connection failed before a complete response was received: " + e.getMessage(),
           remedyWhenUnknown,
           ExitCode.OUTCOME_UNKNOWN);
     }
   }
 
+  /** Converts an error response, whose body may be no JSON, to an exception. */
   private static CommandException toException(Request request, int status, String body) {
     JsonNode error;
     try {
@@ -121,7 +133,7 @@
     } catch (JsonProcessingException e) {
       throw new CommandException(
           "malformed_json",
-          "answer of the daemon",
+          "response of the daemon",
           String.valueOf(e.getOriginalMessage()),
           "check that --node is the operator address",
           ExitCode.FAILED);
--- a/cli/src/main/java/org/mustardlatch/cli/package-info.java
+++ b/cli/src/main/java/org/mustardlatch/cli/package-info.java
@@ -1,4 +1,4 @@
-/** mustardlatch, the command-line tool for operators. */
+/** The command-line tool {@code mustardlatch} for operators. */
 @NullMarked
 package org.mustardlatch.cli;
 
--- a/cli/src/test/java/org/mustardlatch/cli/MainTest.java
+++ b/cli/src/test/java/org/mustardlatch/cli/MainTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against errors without place and remedy, and exit codes that scripts can't rely on. */
+/**
+ * Guards against error messages without a location or a remedy, and against changed exit codes, on
+ * which scripts depend.
+ */
 class MainTest {
   private static final String MANIFEST = Path.of("..", "examples", "manifest.toml").toString();
 
@@ -40,8 +43,8 @@
   @Test
   void helpListsEveryCommandAndExitsWithZero() {
     assertThat(run("--help")).isEqualTo(0);
-    for (CommandHelp name : CommandHelp.values()) {
-      assertThat(out()).contains(name.synopsis());
+    for (CommandHelp command : CommandHelp.values()) {
+      assertThat(out()).contains(command.synopsis());
     }
     assertThat(err()).isEmpty();
   }
--- a/core/src/main/java/org/mustardlatch/core/error/ErrorCode.java
+++ b/core/src/main/java/org/mustardlatch/core/error/ErrorCode.java
@@ -3,7 +3,8 @@
 import java.util.Locale;
 
 /**
- * Stable codes of errors that callers and operators see. A code keeps its meaning between releases.
+ * Stable codes of the errors that are returned to callers and operators. The meaning of a code does
+ * not change between releases. The name of a constant in lower case is its code on the wire.
  */
 public enum ErrorCode {
   INVALID_ARGUMENT(400),
@@ -41,12 +42,12 @@
     this.httpStatus = httpStatus;
   }
 
-  /** Returns the HTTP status that goes with this code. */
+  /** Returns the HTTP status of a response with this code. */
   public int httpStatus() {
     return httpStatus;
   }
 
-  /** Returns the code in the form that callers see, for example {@code unknown_model}. */
+  /** Returns the code as it is written in responses, for example {@code unknown_model}. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
+++ b/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
@@ -2,27 +2,30 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** An error with a stable code. All errors that reach callers or operators are of this type. */
+/**
+ * An error with a stable {@link ErrorCode}. Every error that is returned to a caller or an operator
+ * is of this type.
+ */
 public class MustardlatchException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final ErrorCode code;
 
   /**
-   * Creates an error.
+   * Creates an exception without a cause.
    *
-   * @param code the stable code
-   * @param message what is wrong, with the offending value
+   * @param code stable code of the error
+   * @param message description of the error, with the offending value
    */
   public MustardlatchException(ErrorCode code, String message) {
     this(code, message, null);
   }
 
   /**
-   * Creates an error with a cause.
+   * Creates an exception with a cause.
    *
-   * @param code the stable code
-   * @param message what is wrong, with the offending value
+   * @param code stable code of the error
+   * @param message description of the error, with the offending value
    * @param cause the underlying error, or null
    */
   public MustardlatchException(ErrorCode code, String message, @Nullable Throwable cause) {
@@ -30,7 +33,7 @@
     this.code = code;
   }
 
-  /** Returns the stable code. */
+  /** Returns the stable code of this error. */
   public ErrorCode code() {
     return code;
   }
--- a/core/src/main/java/org/mustardlatch/core/error/ParseResult.java
+++ b/core/src/main/java/org/mustardlatch/core/error/ParseResult.java
@@ -5,9 +5,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The outcome of reading a file: a value, or the findings that make it unusable.
+ * The result of parsing a file: either a value or the findings that make the file invalid.
  *
- * @param <T> type of the value
+ * @param <T> type of the parsed value
  */
 public final class ParseResult<T> {
   private final @Nullable T value;
@@ -18,13 +18,13 @@
     this.findings = findings;
   }
 
-  /** Returns a result that holds a usable value. */
+  /** Returns a valid result with the given value. */
   public static <T> ParseResult<T> valid(T value) {
     return new ParseResult<>(value, List.of());
   }
 
   /**
-   * Returns a result that holds findings only, sorted by place.
+   * Returns an invalid result with the given findings, sorted by location.
    *
    * @param findings at least one finding
    */
@@ -37,20 +37,21 @@
     return new ParseResult<>(null, sorted);
   }
 
-  /** Returns the findings, sorted by place; empty when the value is usable. */
+  /** Returns the findings, sorted by location; empty if the result is valid. */
   public List<Finding> findings() {
     return findings;
   }
 
-  /** Returns whether there is a usable value. */
+  /** Returns whether the result has a value and no findings. */
   public boolean isValid() {
     return findings.isEmpty();
   }
 
   /**
-   * Returns the value.
+   * Returns the parsed value.
    *
-   * @throws MustardlatchException with the given code and all findings when there is no value
+   * @throws MustardlatchException with the given code and one finding per line if the result is
+   *     invalid
    */
   public T orThrow(ErrorCode code) {
     if (value == null) {
--- a/core/src/main/java/org/mustardlatch/core/error/SourceLocation.java
+++ b/core/src/main/java/org/mustardlatch/core/error/SourceLocation.java
@@ -1,13 +1,15 @@
 package org.mustardlatch.core.error;
 
 /**
- * A place in a text file.
+ * A position in a text file. Locations are ordered by line and column; the file name is not
+ * compared.
  *
- * @param file name of the file as the user gave it
- * @param line 1 for the first line
- * @param column 1 for the first column
+ * @param file name of the file as the user specified it
+ * @param line line number, starting at 1
+ * @param column column number, starting at 1
  */
-public record SourceLocation(String file, int line, int column) implements Comparable<SourceLocation> {
+public record SourceLocation(String file, int line, int column)
+    implements Comparable<SourceLocation> {
   @Override
   public int compareTo(SourceLocation other) {
     return line != other.line
--- a/core/src/main/java/org/mustardlatch/core/error/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/error/package-info.java
@@ -1,4 +1,4 @@
-/** Errors with stable codes, and findings that name the place of a fault in a file. */
+/** Errors with stable codes, and findings that locate faults in files. */
 @NullMarked
 package org.mustardlatch.core.error;
 
--- a/core/src/main/java/org/mustardlatch/core/manifest/DefinedNames.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/DefinedNames.java
@@ -7,11 +7,11 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.toml.TomlSection;
 
-/** Names defined in a manifest, to find duplicates and references to nothing. */
+/** The names that a manifest defines, to detect duplicate names and undefined references. */
 final class DefinedNames {
   private final Map<String, Set<String>> namesByKind = new HashMap<>();
 
-  /** Records a definition; a second one of the same kind and name is a finding. */
+  /** Records a definition; adds a finding if the name is already defined for the same kind. */
   void define(TomlSection section, String kind, String key, String name) {
     if (!namesByKind.computeIfAbsent(kind, k -> new HashSet<>()).add(name)) {
       section.addFinding(
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Adds a finding when the name was not defined; null stands for an absent reference. */
+  /** Adds a finding if the name is not defined; does nothing if the reference is absent (null). */
   void checkReference(TomlSection section, String kind, String key, @Nullable String name) {
     if (name != null && !namesByKind.getOrDefault(kind, Set.of()).contains(name)) {
       section.addFinding(
--- a/core/src/main/java/org/mustardlatch/core/manifest/LedgerPolicy.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/LedgerPolicy.java
@@ -3,9 +3,10 @@
 import java.time.Duration;
 
 /**
- * How records of non-idempotent requests are kept.
+ * Limits of the ledger, which records the outcomes of non-idempotent requests.
  *
- * @param retention how long an outcome is remembered
- * @param writesPerSecond writes to the object service that the whole fleet may spend on records
+ * @param retention time for which an outcome is kept
+ * @param writesPerSecond limit of ledger writes to the object service over the whole fleet, per
+ *     second
  */
 public record LedgerPolicy(Duration retention, int writesPerSecond) {}
--- a/core/src/main/java/org/mustardlatch/core/manifest/Limits.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Limits.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.manifest;
 
 /**
- * Fleet-wide budgets.
+ * Budgets for retries and hedged requests over the whole fleet.
  *
- * @param retryBudgetFraction retries per first attempt, 0 to 1
- * @param hedgeBudgetFraction hedged requests per request, 0 to 1
+ * @param retryBudgetFraction retries allowed per first attempt, 0 to 1
+ * @param hedgeBudgetFraction hedged requests allowed per request, 0 to 1
  */
 public record Limits(double retryBudgetFraction, double hedgeBudgetFraction) {}
--- a/core/src/main/java/org/mustardlatch/core/manifest/Manifest.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Manifest.java
@@ -8,19 +8,19 @@
 import org.mustardlatch.core.model.ZoneId;
 
 /**
- * A checked manifest. Instances come from {@link ManifestParser}; references between entries are
- * known to resolve.
+ * A manifest, the description of a deployment that operators publish to the fleet. Instances from
+ * {@link ManifestParser} are validated: all references between entries resolve. Immutable.
  *
  * @param name name of the deployment
- * @param objective what the routing policy favours
+ * @param objective objective of the routing policy
  * @param regions regions, at least one
- * @param link the link between regions
- * @param workspaces workspaces
- * @param models models
+ * @param link network link between the regions
+ * @param workspaces workspaces with their API keys and limits
+ * @param models models with their latency targets
  * @param upstreams engines and application services
- * @param routes pass-through routes
- * @param ledger how records of non-idempotent requests are kept
- * @param limits fleet-wide budgets
+ * @param routes pass-through routes to application services
+ * @param ledger limits of the ledger of non-idempotent requests
+ * @param limits budgets for retries and hedged requests
  */
 public record Manifest(
     String name,
@@ -33,7 +33,7 @@
     List<Route> routes,
     LedgerPolicy ledger,
     Limits limits) {
-  /** Copies the lists. */
+  /** Makes defensive copies of the lists. */
   public Manifest {
     regions = List.copyOf(regions);
     workspaces = List.copyOf(workspaces);
@@ -42,17 +42,17 @@
     routes = List.copyOf(routes);
   }
 
-  /** Returns the model with this name, or empty. */
+  /** Returns the model with the given name, or empty if there is none. */
   public Optional<Model> model(ModelId id) {
     return models.stream().filter(m -> m.id().equals(id)).findFirst();
   }
 
-  /** Returns the upstream with this name, or empty. */
+  /** Returns the upstream with the given name, or empty if there is none. */
   public Optional<Upstream> upstream(UpstreamId id) {
     return upstreams.stream().filter(u -> u.id().equals(id)).findFirst();
   }
 
-  /** Returns the region that has this availability zone, or empty. */
+  /** Returns the region of the given availability zone, or empty if the zone is not defined. */
   public Optional<RegionId> regionOf(ZoneId zone) {
     return regions.stream().filter(r -> r.zones().contains(zone)).map(Region::id).findFirst();
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
@@ -7,17 +7,18 @@
 import java.util.Objects;
 
 /**
- * The entries that differ between two manifests.
+ * The differences between two manifests, entry by entry.
  *
- * @param changes the differences, in the order of the manifest's tables
+ * @param changes added and changed entries in the order of the tables of the manifest, then removed
+ *     entries in the same order
  */
 public record ManifestDiff(List<Change> changes) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public ManifestDiff {
     changes = List.copyOf(changes);
   }
 
-  /** How an entry differs. */
+  /** The kinds of differences. */
   public enum Kind {
     ADDED,
     REMOVED,
@@ -25,11 +26,12 @@
   }
 
   /**
-   * One entry that differs.
+   * One entry that differs. The string form shows the entries in full.
    *
+   * @param kind kind of the difference
    * @param entry table and name, for example {@code upstream decode-1}
-   * @param before the entry in the first manifest; empty when it was added
-   * @param after the entry in the second manifest; empty when it was removed
+   * @param before the entry in the first manifest; empty if it was added
+   * @param after the entry in the second manifest; empty if it was removed
    */
   public record Change(Kind kind, String entry, String before, String after) {
     @Override
@@ -42,29 +44,30 @@
     }
   }
 
-  /** Compares two manifests. */
+  /** Returns the differences from one manifest to another. */
   public static ManifestDiff compare(Manifest before, Manifest after) {
-    Map<String, String> old = entries(before);
-    Map<String, String> current = entries(after);
+    Map<String, String> beforeEntries = entries(before);
+    Map<String, String> afterEntries = entries(after);
     List<Change> changes = new ArrayList<>();
-    current.forEach(
+    afterEntries.forEach(
         (entry, value) -> {
-          String previous = old.get(entry);
+          String previous = beforeEntries.get(entry);
           if (previous == null) {
             changes.add(new Change(Kind.ADDED, entry, "", value));
           } else if (!Objects.equals(previous, value)) {
             changes.add(new Change(Kind.CHANGED, entry, previous, value));
           }
         });
-    old.forEach(
+    beforeEntries.forEach(
         (entry, value) -> {
-          if (!current.containsKey(entry)) {
+          if (!afterEntries.containsKey(entry)) {
             changes.add(new Change(Kind.REMOVED, entry, value, ""));
           }
         });
     return new ManifestDiff(changes);
   }
 
+  /** Returns the string form of each entry of a manifest by its table and name. */
   private static Map<String, String> entries(Manifest m) {
     Map<String, String> entries = new LinkedHashMap<>();
     entries.put("manifest name", m.name());
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
@@ -19,11 +19,11 @@
 import org.mustardlatch.core.toml.TomlSection;
 
 /**
- * Reads a manifest and checks it as a whole. All faults are reported together, so that a pipeline
- * needs one run to see them.
+ * Parses and validates manifests. All faults of a manifest are reported together, so that a
+ * deployment pipeline shows them in one run.
  */
 public final class ManifestParser {
-  /** Largest manifest that the object service holds, bytes. */
+  /** Size limit of an object in the object service, which stores the manifest, bytes. */
   public static final int MAX_BYTES = 1_000_000;
 
   private static final long MAX_LINK_BYTES_PER_SECOND = 1_000_000_000_000L;
@@ -32,11 +32,11 @@
   private ManifestParser() {}
 
   /**
-   * Reads a manifest.
+   * Parses a manifest.
    *
-   * @param file name for findings
+   * @param file file name that findings show
    * @param text TOML text
-   * @return the manifest, or every fault with its place
+   * @return the manifest, or every fault with its location
    */
   public static ParseResult<Manifest> parse(String file, String text) {
     TomlFindings findings = new TomlFindings(file);
@@ -63,25 +63,25 @@
   }
 
   private static Manifest readManifest(TomlSection root) {
-    TomlSection head = root.section("manifest");
-    String name = head.requiredString("name");
-    Objective objective = head.optional("objective", ManifestParser::parseObjective);
-    head.rejectUnknownKeys();
-    DefinedNames references = new DefinedNames();
+    TomlSection manifestSection = root.section("manifest");
+    String name = manifestSection.requiredString("name");
+    Objective objective = manifestSection.optional("objective", ManifestParser::parseObjective);
+    manifestSection.rejectUnknownKeys();
+    DefinedNames definedNames = new DefinedNames();
     List<Region> regions = new ArrayList<>();
-    root.sections("region").forEach(s -> addRegion(s, regions, references));
+    root.sections("region").forEach(s -> addRegion(s, regions, definedNames));
     if (regions.isEmpty()) {
       root.addFinding("missing_key", "region", "the manifest has no region", "add a [[region]]");
     }
     CrossRegionLink link = readLink(root.section("link"));
     List<Workspace> workspaces = new ArrayList<>();
-    root.sections("workspace").forEach(s -> addWorkspace(s, workspaces, references));
+    root.sections("workspace").forEach(s -> addWorkspace(s, workspaces, definedNames));
     List<Model> models = new ArrayList<>();
-    root.sections("model").forEach(s -> addModel(s, models, references));
+    root.sections("model").forEach(s -> addModel(s, models, definedNames));
     List<Upstream> upstreams = new ArrayList<>();
-    root.sections("upstream").forEach(s -> addUpstream(s, upstreams, references));
+    root.sections("upstream").forEach(s -> addUpstream(s, upstreams, definedNames));
     List<Route> routes = new ArrayList<>();
-    root.sections("route").forEach(s -> addRoute(s, routes, references));
+    root.sections("route").forEach(s -> addRoute(s, routes, definedNames));
     LedgerPolicy ledger = readLedger(root.section("ledger"));
     Limits limits = readLimits(root.section("limits"));
     root.rejectUnknownKeys();
@@ -111,16 +111,15 @@
     };
   }
 
-  private static void addRegion(
-      TomlSection s, List<Region> regions, DefinedNames references) {
+  private static void addRegion(TomlSection s, List<Region> regions, DefinedNames definedNames) {
     RegionId id = s.required("name", RegionId::new);
     List<ZoneId> zones = s.convertedStrings("zones", ZoneId::new);
     if (zones.isEmpty()) {
       s.addFinding("missing_key", "zones", "the region has no availability zone", "add zones");
     }
     if (id != null) {
-      references.define(s, "region", "name", id.value());
-      zones.forEach(z -> references.define(s, "zone", "zones", z.value()));
+      definedNames.define(s, "region", "name", id.value());
+      zones.forEach(z -> definedNames.define(s, "zone", "zones", z.value()));
       regions.add(new Region(id, zones));
     }
     s.rejectUnknownKeys();
@@ -136,16 +135,16 @@
   }
 
   private static void addWorkspace(
-      TomlSection s, List<Workspace> workspaces, DefinedNames references) {
+      TomlSection s, List<Workspace> workspaces, DefinedNames definedNames) {
     WorkspaceId id = s.required("name", WorkspaceId::new);
-    List<String> keys = s.convertedStrings("api_keys_sha256", ManifestParser::requireDigest);
+    List<String> keyDigests = s.convertedStrings("api_keys_sha256", ManifestParser::requireDigest);
     double weight = s.number("weight", 0.001, 1000, 1);
-    double rate = s.number("requests_per_second", 0, 1_000_000, 1_000_000);
-    long concurrent = s.integer("max_concurrent", 1, 1_000_000, 1_000_000);
+    double requestsPerSecond = s.number("requests_per_second", 0, 1_000_000, 1_000_000);
+    long maxConcurrent = s.integer("max_concurrent", 1, 1_000_000, 1_000_000);
     if (id != null) {
-      references.define(s, "workspace", "name", id.value());
-      keys.forEach(k -> references.define(s, "API key", "api_keys_sha256", k));
-      workspaces.add(new Workspace(id, keys, weight, rate, (int) concurrent));
+      definedNames.define(s, "workspace", "name", id.value());
+      keyDigests.forEach(k -> definedNames.define(s, "API key", "api_keys_sha256", k));
+      workspaces.add(new Workspace(id, keyDigests, weight, requestsPerSecond, (int) maxConcurrent));
     }
     s.rejectUnknownKeys();
   }
@@ -157,15 +156,16 @@
     return text;
   }
 
-  private static void addModel(TomlSection s, List<Model> models, DefinedNames references) {
+  private static void addModel(TomlSection s, List<Model> models, DefinedNames definedNames) {
     ModelId id = s.required("name", ModelId::new);
-    Duration firstToken = readMillis(s, "first_token_target_ms", 900);
-    Duration gap = readMillis(s, "token_gap_target_ms", 68);
-    long maxPrompt = s.integer("max_prompt_tokens", 1, 10_000_000, 32_768);
-    long kvBytes = s.integer("kv_bytes_per_token", 1, 1_000_000_000, 131_072);
+    Duration firstTokenTarget = readMillis(s, "first_token_target_ms", 900);
+    Duration tokenGapTarget = readMillis(s, "token_gap_target_ms", 68);
+    long maxPromptTokens = s.integer("max_prompt_tokens", 1, 10_000_000, 32_768);
+    long kvBytesPerToken = s.integer("kv_bytes_per_token", 1, 1_000_000_000, 131_072);
     if (id != null) {
-      references.define(s, "model", "name", id.value());
-      models.add(new Model(id, firstToken, gap, (int) maxPrompt, kvBytes));
+      definedNames.define(s, "model", "name", id.value());
+      models.add(
+          new Model(id, firstTokenTarget, tokenGapTarget, (int) maxPromptTokens, kvBytesPerToken));
     }
     s.rejectUnknownKeys();
   }
@@ -175,34 +175,44 @@
   }
 
   private static void addUpstream(
-      TomlSection s, List<Upstream> upstreams, DefinedNames references) {
+      TomlSection s, List<Upstream> upstreams, DefinedNames definedNames) {
     UpstreamId id = s.required("name", UpstreamId::new);
-    boolean engine = Boolean.TRUE.equals(s.required("kind", ManifestParser::isEngine));
+    boolean isEngine = Boolean.TRUE.equals(s.required("kind", ManifestParser::isEngineKind));
     UpstreamRole role =
-        engine ? s.required("role", ManifestParser::parseRole) : UpstreamRole.APPLICATION;
-    ModelId model = engine ? s.required("model", ModelId::new) : null;
+        isEngine ? s.required("role", ManifestParser::parseRole) : UpstreamRole.APPLICATION;
+    ModelId model = isEngine ? s.required("model", ModelId::new) : null;
     ZoneId zone = s.required("zone", ZoneId::new);
     URI url = s.required("url", ManifestParser::parseUrl);
-    long slots = s.integer("slots", 1, 100_000, engine ? 20 : 100);
-    boolean prefills = role != null && role.prefills();
-    long rate = prefills ? s.requiredInteger("prefill_tokens_per_second", 1, 100_000_000) : 0;
-    long pieces = engine ? s.integer("memory_pieces", 1, 1_000_000, 400) : 0;
-    boolean fencing = s.bool("checks_fencing", false);
+    long slots = s.integer("slots", 1, 100_000, isEngine ? 20 : 100);
+    boolean doesPrefill = role != null && role.prefills();
+    long prefillTokensPerSecond =
+        doesPrefill ? s.requiredInteger("prefill_tokens_per_second", 1, 100_000_000) : 0;
+    long memoryPieces = isEngine ? s.integer("memory_pieces", 1, 1_000_000, 400) : 0;
+    boolean checksFencing = s.bool("checks_fencing", false);
     boolean leaving = s.bool("leaving", false);
     if (id != null) {
-      references.define(s, "upstream", "name", id.value());
+      definedNames.define(s, "upstream", "name", id.value());
     }
-    references.checkReference(s, "zone", "zone", zone == null ? null : zone.value());
-    references.checkReference(s, "model", "model", model == null ? null : model.value());
+    definedNames.checkReference(s, "zone", "zone", zone == null ? null : zone.value());
+    definedNames.checkReference(s, "model", "model", model == null ? null : model.value());
     if (id != null && role != null && zone != null && url != null) {
       upstreams.add(
           new Upstream(
-              id, role, model, zone, url, (int) slots, (int) rate, (int) pieces, fencing, leaving));
+              id,
+              role,
+              model,
+              zone,
+              url,
+              (int) slots,
+              (int) prefillTokensPerSecond,
+              (int) memoryPieces,
+              checksFencing,
+              leaving));
     }
     s.rejectUnknownKeys();
   }
 
-  private static boolean isEngine(String kind) {
+  private static boolean isEngineKind(String kind) {
     return switch (kind) {
       case "engine" -> true;
       case "application" -> false;
@@ -230,12 +240,12 @@
     return uri;
   }
 
-  private static void addRoute(TomlSection s, List<Route> routes, DefinedNames references) {
+  private static void addRoute(TomlSection s, List<Route> routes, DefinedNames definedNames) {
     String path = s.required("path", ManifestParser::requirePath);
     Set<String> methods = new TreeSet<>();
     s.strings("methods").forEach(m -> methods.add(m.toUpperCase(Locale.ROOT)));
     List<UpstreamId> upstreams = s.convertedStrings("upstreams", UpstreamId::new);
-    upstreams.forEach(u -> references.checkReference(s, "upstream", "upstreams", u.value()));
+    upstreams.forEach(u -> definedNames.checkReference(s, "upstream", "upstreams", u.value()));
     boolean idempotent = s.bool("idempotent", false);
     @Nullable String outcomePath = s.optional("outcome_path", ManifestParser::requirePath);
     if (methods.isEmpty()) {
@@ -245,7 +255,7 @@
       s.addFinding("missing_key", "upstreams", "the route has no upstreams", "add upstreams");
     }
     if (path != null) {
-      methods.forEach(m -> references.define(s, "route", "path", m + " " + path));
+      methods.forEach(m -> definedNames.define(s, "route", "path", m + " " + path));
       routes.add(new Route(path, methods, upstreams, idempotent, outcomePath));
     }
     s.rejectUnknownKeys();
@@ -277,7 +287,10 @@
     return limits;
   }
 
-  /** A model without a prefill and a decode engine in one region could never answer. */
+  /**
+   * Adds a finding for every model without both a prefill and a decode engine in one region,
+   * because no request for such a model could be served. Leaving (draining) engines don't count.
+   */
   private static void checkModelsAreServed(TomlSection root, Manifest manifest) {
     for (Model model : manifest.models()) {
       boolean served =
@@ -297,12 +310,12 @@
   }
 
   private static boolean hasUpstream(
-      Manifest manifest, Model model, Region region, Predicate<UpstreamRole> role) {
+      Manifest manifest, Model model, Region region, Predicate<UpstreamRole> hasRole) {
     return manifest.upstreams().stream()
         .anyMatch(
             u ->
                 model.id().equals(u.model())
-                    && role.test(u.role())
+                    && hasRole.test(u.role())
                     && !u.leaving()
                     && region.zones().contains(u.zone()));
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/Model.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Model.java
@@ -4,15 +4,15 @@
 import org.mustardlatch.core.model.ModelId;
 
 /**
- * A model and its latency targets.
+ * A language model with its latency targets and the properties of its engines.
  *
- * @param id name that callers use
- * @param firstTokenTarget time from arrival to the first token
- * @param tokenGapTarget time between tokens
- * @param maxPromptTokens longest prompt that is accepted, tokens
+ * @param id name of the model in requests
+ * @param firstTokenTarget target for the time from the arrival of a request to its first token
+ * @param tokenGapTarget target for the time between two tokens
+ * @param maxPromptTokens length of the longest accepted prompt, tokens
  * @param kvBytesPerToken size of the KV cache of one prompt token, bytes
- * @param memoryPieceTokens tokens of the pieces in which engines allocate KV memory
- * @param reservable whether engines reserve a slot and memory ahead of a request
+ * @param memoryPieceTokens size of the pieces in which engines allocate KV cache memory, tokens
+ * @param reservable whether engines can reserve a slot and memory before a request is sent
  */
 public record Model(
     ModelId id,
@@ -22,10 +22,13 @@
     long kvBytesPerToken,
     int memoryPieceTokens,
     boolean reservable) {
-  /** Tokens of a piece of KV memory where nothing else is stated. */
+  /** Default size of a piece of KV cache memory, tokens. */
   public static final int DEFAULT_MEMORY_PIECE_TOKENS = 1000;
 
-  /** Creates a model whose engines allocate KV memory in pieces of the usual size. */
+  /**
+   * Creates a model whose engines allocate KV cache memory in pieces of the default size and take
+   * no reservations.
+   */
   public Model(
       ModelId id,
       Duration firstTokenTarget,
--- a/core/src/main/java/org/mustardlatch/core/manifest/Objective.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Objective.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.core.manifest;
 
-/** What the routing policy favours where the measures pull in different directions. */
+/** What the routing policy optimizes for where its performance measures conflict. */
 public enum Objective {
-  /** Favours goodput and little wasted prefill. */
+  /** Maximizes goodput and minimizes wasted prefill work. */
   WASTE_AVERSE,
-  /** Favours service at the crest of a demand swing and a short latency tail. */
+  /** Maximizes service during load peaks and minimizes tail latency. */
   CREST_AVERSE
 }
--- a/core/src/main/java/org/mustardlatch/core/manifest/Region.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Region.java
@@ -8,10 +8,10 @@
  * A region and its availability zones.
  *
  * @param id name of the region
- * @param zones its availability zones, at least one
+ * @param zones availability zones of the region, at least one
  */
 public record Region(RegionId id, List<ZoneId> zones) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public Region {
     zones = List.copyOf(zones);
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/Upstream.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Upstream.java
@@ -7,19 +7,20 @@
 import org.mustardlatch.core.model.ZoneId;
 
 /**
- * A back end: a model engine or an application service.
+ * An upstream: a model engine or an application service.
  *
  * @param id name of the upstream
- * @param role what it does
+ * @param role work that the upstream does
  * @param model the model that an engine serves; null for an application service
- * @param zone its availability zone
+ * @param zone availability zone of the upstream
  * @param url base URL
- * @param slots requests that it holds at a time
- * @param prefillTokensPerSecond prompt tokens per second of a prefill engine; 0 when it has none
- * @param memoryPieces KV memory of an engine in pieces of the size that the model states; 0 for an
- *     application service
- * @param checksFencing whether it refuses orders with an old fencing token
- * @param leaving whether it must get no new work
+ * @param slots number of requests that the upstream runs concurrently
+ * @param prefillTokensPerSecond prefill throughput, prompt tokens per second; 0 if the upstream
+ *     does no prefill
+ * @param memoryPieces KV cache memory of an engine in pieces of {@link Model#memoryPieceTokens}; 0
+ *     for an application service
+ * @param checksFencing whether the upstream refuses requests with an outdated fencing token
+ * @param leaving whether the upstream is leaving (draining) and must receive no new work
  */
 public record Upstream(
     UpstreamId id,
--- a/core/src/main/java/org/mustardlatch/core/manifest/UpstreamRole.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/UpstreamRole.java
@@ -1,24 +1,27 @@
 package org.mustardlatch.core.manifest;
 
-/** What an upstream does. */
+/** The kind of work that an upstream does. */
 public enum UpstreamRole {
   /** A model engine that processes prompts. */
   PREFILL,
   /** A model engine that generates tokens. */
   DECODE,
-  /** A model engine that does both. */
+  /** A model engine that both processes prompts and generates tokens. */
   MIXED,
-  /** A decode engine that can also process the prompt of a request that it decodes itself. */
+  /**
+   * A decode engine that can also process prompts, but only those of requests that it decodes
+   * itself.
+   */
   DECODE_WITH_PROMPT,
-  /** A plain application service. */
+  /** An application service, which runs no model. */
   APPLICATION;
 
-  /** Returns whether this upstream processes prompts. */
+  /** Returns whether an upstream of this role processes prompts for any decode engine. */
   public boolean prefills() {
     return this == PREFILL || this == MIXED;
   }
 
-  /** Returns whether this upstream generates tokens. */
+  /** Returns whether an upstream of this role generates tokens. */
   public boolean decodes() {
     return this == DECODE || this == MIXED || this == DECODE_WITH_PROMPT;
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/Workspace.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Workspace.java
@@ -4,13 +4,13 @@
 import org.mustardlatch.core.model.WorkspaceId;
 
 /**
- * A workspace with its keys and limits.
+ * A workspace, the unit to which API keys and limits belong.
  *
  * @param id name of the workspace
- * @param apiKeysSha256 SHA-256 digests of its API keys, lower-case hexadecimal
- * @param weight share in fair queueing relative to other workspaces, greater than 0
- * @param requestsPerSecond limit over the whole fleet, requests per second
- * @param maxConcurrent limit of requests in progress over the whole fleet
+ * @param apiKeysSha256 SHA-256 digests of the API keys of the workspace, lower-case hexadecimal
+ * @param weight weight in fair queueing relative to other workspaces, greater than 0
+ * @param requestsPerSecond rate limit over the whole fleet, requests per second
+ * @param maxConcurrent limit of concurrent requests over the whole fleet
  */
 public record Workspace(
     WorkspaceId id,
@@ -18,7 +18,7 @@
     double weight,
     double requestsPerSecond,
     int maxConcurrent) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public Workspace {
     apiKeysSha256 = List.copyOf(apiKeysSha256);
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/package-info.java
@@ -1,4 +1,7 @@
-/** The manifest: what operators publish, as immutable values, and its parser. */
+/**
+ * The manifest, the description of a deployment that operators publish, as immutable values, with
+ * its parser and its comparison.
+ */
 @NullMarked
 package org.mustardlatch.core.manifest;
 
--- a/core/src/main/java/org/mustardlatch/core/model/Fingerprint.java
+++ b/core/src/main/java/org/mustardlatch/core/model/Fingerprint.java
@@ -1,16 +1,17 @@
 package org.mustardlatch.core.model;
 
 /**
- * SHA-256 of the content of a generation request (model, prompt, sampling parameters) without
- * request ids; the same content has the same fingerprint on every node.
+ * SHA-256 digest of the content of a generation request: model, prompt and sampling parameters, but
+ * not the request id. Requests with the same content have the same fingerprint on every node.
  *
  * @param value 64 lower-case hexadecimal digits
  */
 public record Fingerprint(String value) {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a digest. */
+  /** Throws {@link IllegalArgumentException} if the value is not a SHA-256 digest. */
   public Fingerprint {
     if (!value.matches("[0-9a-f]{64}")) {
-      throw new IllegalArgumentException("a fingerprint has 64 hexadecimal digits, got " + value);
+      throw new IllegalArgumentException(
+          "fingerprint must have 64 lower-case hexadecimal digits, got " + value);
     }
   }
 
--- a/core/src/main/java/org/mustardlatch/core/model/HostId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/HostId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a machine that runs a daemon or an upstream.
+ * Name of a host, a machine that runs a daemon or an upstream.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record HostId(String value) implements Comparable<HostId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public HostId {
     Identifiers.checkName("host", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/ModelId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/ModelId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a model that callers ask for.
+ * Name of a language model, as callers specify it in requests.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record ModelId(String value) implements Comparable<ModelId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public ModelId {
     Identifiers.checkName("model", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/RegionId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/RegionId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a region, a group of availability zones that are close to each other.
+ * Name of a region, a group of availability zones with low network latency between them.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record RegionId(String value) implements Comparable<RegionId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public RegionId {
     Identifiers.checkName("region", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/RequestId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/RequestId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Identifies one request of a caller; unique in the fleet.
+ * Identifier of a caller's request, unique within the fleet.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record RequestId(String value) implements Comparable<RequestId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public RequestId {
     Identifiers.checkName("request", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/UpstreamId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/UpstreamId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a back end: a model engine or an application service.
+ * Name of an upstream: a model engine or an application service.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record UpstreamId(String value) implements Comparable<UpstreamId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public UpstreamId {
     Identifiers.checkName("upstream", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/WorkspaceId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/WorkspaceId.java
@@ -1,12 +1,13 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a workspace, the unit of limits and fairness.
+ * Name of a workspace, the unit to which rate limits and fair queueing apply.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public WorkspaceId {
     Identifiers.checkName("workspace", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/ZoneId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/ZoneId.java
@@ -3,10 +3,11 @@
 /**
  * Name of an availability zone.
  *
- * @param value 1 to 63 characters of lower-case letters, digits, dot, underscore and hyphen
+ * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
+ *     first is a letter or a digit
  */
 public record ZoneId(String value) implements Comparable<ZoneId> {
-  /** Checks the value; throws {@link IllegalArgumentException} when it is not a valid name. */
+  /** Throws {@link IllegalArgumentException} if the value is not a valid name. */
   public ZoneId {
     Identifiers.checkName("zone", value);
   }
--- a/core/src/main/java/org/mustardlatch/core/model/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/model/package-info.java
@@ -1,4 +1,7 @@
-/** Names of hosts, zones, workspaces, upstreams, models and requests as checked values. */
+/**
+ * Value types for the names of hosts, regions, zones, workspaces, upstreams, models and requests.
+ * Constructors reject invalid names.
+ */
 @NullMarked
 package org.mustardlatch.core.model;
 
--- a/core/src/main/java/org/mustardlatch/core/settings/Settings.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/Settings.java
@@ -8,18 +8,19 @@
 import org.mustardlatch.core.model.ZoneId;
 
 /**
- * Settings of one daemon process.
+ * Settings of one daemon process, as read by {@link SettingsParser}.
  *
  * @param host name of this host
- * @param region its region
- * @param zone its availability zone
- * @param callerAddress where callers connect
- * @param operatorAddress where operators and the metrics collector connect
- * @param peerAddress where other daemons connect
- * @param drainDelay time between readiness off and the refusal of new requests
- * @param seeds peer addresses to join through; may be empty
+ * @param region region of this host
+ * @param zone availability zone of this host
+ * @param callerAddress listening address for callers
+ * @param operatorAddress listening address for operators and the metrics collector
+ * @param peerAddress listening address for other daemons
+ * @param drainDelay time from reporting not ready until new requests are refused, on a graceful
+ *     stop
+ * @param seeds peer addresses of daemons through which to join the fleet; may be empty
  * @param objectServiceUrl base URL of the platform's object service
- * @param peerSecurity how connections between daemons are protected
+ * @param peerSecurity transport security of the connections between daemons
  */
 public record Settings(
     HostId host,
@@ -32,7 +33,7 @@
     List<SocketAddress> seeds,
     URI objectServiceUrl,
     PeerSecurity peerSecurity) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public Settings {
     seeds = List.copyOf(seeds);
   }
--- a/core/src/main/java/org/mustardlatch/core/settings/SettingsParser.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/SettingsParser.java
@@ -12,7 +12,7 @@
 import org.mustardlatch.core.toml.TomlFindings;
 import org.mustardlatch.core.toml.TomlSection;
 
-/** Reads the settings file of a daemon; all faults are reported together. */
+/** Parses and validates the settings file of a daemon. All faults are reported together. */
 public final class SettingsParser {
   private static final long DEFAULT_DRAIN_DELAY_MILLIS = 3_000;
   private static final long MAX_DRAIN_DELAY_MILLIS = 600_000;
@@ -20,11 +20,11 @@
   private SettingsParser() {}
 
   /**
-   * Reads settings.
+   * Parses settings.
    *
-   * @param file name for findings
+   * @param file file name that findings show
    * @param text TOML text
-   * @return the settings, or every fault with its place
+   * @return the settings, or every fault with its location
    */
   public static ParseResult<Settings> parse(String file, String text) {
     TomlFindings findings = new TomlFindings(file);
@@ -38,69 +38,87 @@
         : ParseResult.invalid(findings.all());
   }
 
+  /** Returns null after a finding that leaves a required setting without a value. */
   private static @Nullable Settings readSettings(TomlSection root) {
-    TomlSection node = root.section("node");
-    HostId host = node.required("host", HostId::new);
-    RegionId region = node.required("region", RegionId::new);
-    ZoneId zone = node.required("zone", ZoneId::new);
-    SocketAddress callers = node.required("caller_address", SocketAddress::parse);
-    SocketAddress operators = node.required("operator_address", SocketAddress::parse);
-    SocketAddress peers = node.required("peer_address", SocketAddress::parse);
+    TomlSection nodeSection = root.section("node");
+    HostId host = nodeSection.required("host", HostId::new);
+    RegionId region = nodeSection.required("region", RegionId::new);
+    ZoneId zone = nodeSection.required("zone", ZoneId::new);
+    SocketAddress callerAddress = nodeSection.required("caller_address", SocketAddress::parse);
+    SocketAddress operatorAddress = nodeSection.required("operator_address", SocketAddress::parse);
+    SocketAddress peerAddress = nodeSection.required("peer_address", SocketAddress::parse);
     Duration drainDelay =
         Duration.ofMillis(
-            node.integer("drain_delay_ms", 0, MAX_DRAIN_DELAY_MILLIS, DEFAULT_DRAIN_DELAY_MILLIS));
-    node.rejectUnknownKeys();
-    TomlSection peerSection = root.section("peers");
-    List<SocketAddress> seeds = peerSection.convertedStrings("seeds", SocketAddress::parse);
-    peerSection.rejectUnknownKeys();
-    TomlSection store = root.section("object_service");
-    URI objectService = store.required("url", URI::create);
-    store.rejectUnknownKeys();
-    PeerSecurity security = readSecurity(root, peers);
+            nodeSection.integer(
+                "drain_delay_ms", 0, MAX_DRAIN_DELAY_MILLIS, DEFAULT_DRAIN_DELAY_MILLIS));
+    nodeSection.rejectUnknownKeys();
+    TomlSection peersSection = root.section("peers");
+    List<SocketAddress> seeds = peersSection.convertedStrings("seeds", SocketAddress::parse);
+    peersSection.rejectUnknownKeys();
+    TomlSection objectServiceSection = root.section("object_service");
+    URI objectServiceUrl = objectServiceSection.required("url", URI::create);
+    objectServiceSection.rejectUnknownKeys();
+    PeerSecurity peerSecurity = readSecurity(root, peerAddress);
     root.rejectUnknownKeys();
-    if (host == null || region == null || zone == null || objectService == null) {
+    if (host == null || region == null || zone == null || objectServiceUrl == null) {
       return null;
     }
-    if (callers == null || operators == null || peers == null || security == null) {
+    if (callerAddress == null
+        || operatorAddress == null
+        || peerAddress == null
+        || peerSecurity == null) {
       return null;
     }
     return new Settings(
-        host, region, zone, callers, operators, peers, drainDelay, seeds, objectService, security);
+        host,
+        region,
+        zone,
+        callerAddress,
+        operatorAddress,
+        peerAddress,
+        drainDelay,
+        seeds,
+        objectServiceUrl,
+        peerSecurity);
   }
 
   private static @Nullable PeerSecurity readSecurity(
-      TomlSection root, @Nullable SocketAddress peers) {
-    TomlSection tls = root.section("tls");
-    String mode = tls.string("mode", "mutual");
-    PeerSecurity security =
+      TomlSection root, @Nullable SocketAddress peerAddress) {
+    TomlSection tlsSection = root.section("tls");
+    String mode = tlsSection.string("mode", "mutual");
+    PeerSecurity peerSecurity =
         switch (mode) {
-          case "plain" -> readPlaintext(tls, peers);
-          case "mutual" -> readMutualTls(tls);
+          case "plain" -> readPlaintext(tlsSection, peerAddress);
+          case "mutual" -> readMutualTls(tlsSection);
           default -> {
-            tls.addFinding(
-                "invalid_value", "mode", "mode must be \"mutual\" or \"plain\"", "choose one");
+            tlsSection.addFinding(
+                "invalid_value",
+                "mode",
+                "mode must be \"mutual\" or \"plain\"",
+                "choose one of the two modes");
             yield null;
           }
         };
-    tls.rejectUnknownKeys();
-    return security;
+    tlsSection.rejectUnknownKeys();
+    return peerSecurity;
   }
 
-  private static PeerSecurity readPlaintext(TomlSection tls, @Nullable SocketAddress peers) {
-    if (peers != null && !peers.isLoopback()) {
-      tls.addFinding(
+  private static PeerSecurity readPlaintext(
+      TomlSection tlsSection, @Nullable SocketAddress peerAddress) {
+    if (peerAddress != null && !peerAddress.isLoopback()) {
+      tlsSection.addFinding(
           "plain_not_allowed",
           "mode",
-          "plain mode is allowed on loopback addresses only, peer_address is " + peers,
-          "give certificate, key and ca");
+          "plain mode is allowed on loopback addresses only, peer_address is " + peerAddress,
+          "set certificate, key and ca");
     }
     return new PeerSecurity.Plaintext();
   }
 
-  private static @Nullable PeerSecurity readMutualTls(TomlSection tls) {
-    Path certificate = tls.required("certificate", Path::of);
-    Path key = tls.required("key", Path::of);
-    Path ca = tls.required("ca", Path::of);
+  private static @Nullable PeerSecurity readMutualTls(TomlSection tlsSection) {
+    Path certificate = tlsSection.required("certificate", Path::of);
+    Path key = tlsSection.required("key", Path::of);
+    Path ca = tlsSection.required("ca", Path::of);
     return certificate == null || key == null || ca == null
         ? null
         : new PeerSecurity.MutualTls(certificate, key, ca);
--- a/core/src/main/java/org/mustardlatch/core/settings/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of one daemon process and their parser. */
+/** Settings of a daemon process and the parser of the settings file. */
 @NullMarked
 package org.mustardlatch.core.settings;
 
--- a/core/src/main/java/org/mustardlatch/core/time/MonotonicClock.java
+++ b/core/src/main/java/org/mustardlatch/core/time/MonotonicClock.java
@@ -1,8 +1,10 @@
 package org.mustardlatch.core.time;
 
-/** A clock for durations. Values of two processes must not be compared. */
+/**
+ * A monotonic clock for measuring durations. Readings of different processes are not comparable.
+ */
 @FunctionalInterface
 public interface MonotonicClock {
-  /** Returns the current time in nanoseconds since an arbitrary origin; never goes back. */
+  /** Returns the nanoseconds since an arbitrary origin; the value never decreases. */
   long nanos();
 }
--- a/core/src/main/java/org/mustardlatch/core/time/TimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/TimerService.java
@@ -2,23 +2,26 @@
 
 import java.time.Duration;
 
-/** Calls tasks at a later time. Parts subscribe to it instead of owning threads. */
+/**
+ * Runs tasks after a delay or periodically. Components schedule tasks here instead of running
+ * threads of their own.
+ */
 public interface TimerService extends MonotonicClock {
   /**
-   * Calls a task once.
+   * Schedules a task to run once.
    *
-   * @param delay time from now; zero or less means as soon as possible
-   * @param task called on the thread of the service, must not block
-   * @return the subscription, to withdraw the call
+   * @param delay time until the task runs; zero or less means as soon as possible
+   * @param task runs on the thread of the service and must not block
+   * @return handle that cancels the task
    */
   TimerSubscription schedule(Duration delay, Runnable task);
 
   /**
-   * Calls a task repeatedly, the first time after one period, until the subscription is cancelled.
+   * Schedules a task to run periodically until it is cancelled. The first run is after one period.
    *
-   * @param period time between calls, greater than zero
-   * @param task called on the thread of the service, must not block
-   * @return the subscription, to end the calls
+   * @param period time between runs, greater than zero
+   * @param task runs on the thread of the service and must not block
+   * @return handle that cancels all further runs
    */
   TimerSubscription scheduleRepeating(Duration period, Runnable task);
 }
--- a/core/src/main/java/org/mustardlatch/core/time/TimerSubscription.java
+++ b/core/src/main/java/org/mustardlatch/core/time/TimerSubscription.java
@@ -1,8 +1,8 @@
 package org.mustardlatch.core.time;
 
-/** A pending call of a {@link TimerService}. */
+/** Handle of a task that was scheduled with a {@link TimerService}. */
 @FunctionalInterface
 public interface TimerSubscription {
-  /** Withdraws the call; does nothing when it was made or withdrawn before. */
+  /** Cancels the task; has no effect if it has run already or was cancelled before. */
   void cancel();
 }
--- a/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
@@ -4,9 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * A timer service whose time moves only when it is told to; for tests and replay. Tasks that are
- * due at the same time run in the order in which they were scheduled. Not safe for use by several
- * threads.
+ * A timer service with virtual time, for tests and replay: time advances only by calls of {@link
+ * #advance} and {@link #runNext}, which run the due tasks on the calling thread. Tasks that are due
+ * at the same time run in the order in which they were scheduled. Not thread-safe.
  */
 public final class VirtualTimerService implements TimerService {
   private final PriorityQueue<Task> tasks = new PriorityQueue<>();
@@ -30,12 +30,12 @@
     if (period.isZero() || period.isNegative()) {
       throw new IllegalArgumentException("period must be greater than zero, got " + period);
     }
-    RepeatingTask repeater = new RepeatingTask(period, task);
-    repeater.nextRun = schedule(period, repeater);
-    return repeater;
+    RepeatingTask repeatingTask = new RepeatingTask(period, task);
+    repeatingTask.nextRun = schedule(period, repeatingTask);
+    return repeatingTask;
   }
 
-  /** Moves time forward by the given duration and runs every task that becomes due, in order. */
+  /** Advances time by the given duration and runs every task that becomes due, in order. */
   public void advance(Duration duration) {
     long end = nowNanos + duration.toNanos();
     while (!tasks.isEmpty() && tasks.peek().dueNanos <= end) {
@@ -44,7 +44,7 @@
     nowNanos = end;
   }
 
-  /** Moves time to the next task and runs it; returns false when there is none. */
+  /** Advances time to the next task and runs it; returns false if no task is scheduled. */
   public boolean runNext() {
     Task t = tasks.poll();
     if (t == null) {
@@ -55,14 +55,17 @@
     return true;
   }
 
-  private record Task(long dueNanos, long sequenceNumber, Runnable task) implements Comparable<Task> {
+  /** A scheduled task; ordered by due time and then by the order of scheduling. */
+  private record Task(long dueNanos, long sequenceNumber, Runnable task)
+      implements Comparable<Task> {
     @Override
     public int compareTo(Task other) {
-      int byTime = Long.compare(dueNanos, other.dueNanos);
-      return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
+      int timeOrder = Long.compare(dueNanos, other.dueNanos);
+      return timeOrder != 0 ? timeOrder : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
+  /** A periodic task, which schedules its next run after each run. */
   private final class RepeatingTask implements Runnable, TimerSubscription {
     private final Duration period;
     private final Runnable task;
--- a/core/src/main/java/org/mustardlatch/core/time/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/time/package-info.java
@@ -1,4 +1,4 @@
-/** Monotonic time and timers that parts subscribe to. */
+/** Monotonic clocks and timer services, real and virtual. */
 @NullMarked
 package org.mustardlatch.core.time;
 
--- a/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
@@ -13,8 +13,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file. Each read of a key checks its type and range; a fault becomes a finding
- * and the read returns a fallback, so that all faults of a file are found in one pass.
+ * Reader of one table of a TOML file. Each read of a key checks the type and range of its value. An
+ * invalid value adds a finding and the read returns a fallback value, so that one pass finds all
+ * faults of a file.
  */
 public final class TomlSection {
   private final String name;
@@ -31,7 +32,7 @@
     this.findings = findings;
   }
 
-  /** Reads a whole file; syntax errors become findings with the code {@code toml_syntax}. */
+  /** Parses a whole file; each syntax error adds a finding with the code {@code toml_syntax}. */
   public static TomlSection parse(String text, TomlFindings findings) {
     TomlParseResult result = Toml.parse(text);
     result
@@ -46,7 +47,7 @@
     return new TomlSection("file", result, TomlPosition.positionAt(1, 1), findings);
   }
 
-  /** Returns where a key stands, or where the table starts when the key is absent. */
+  /** Returns the position of a key, or of the start of the table if the key is absent. */
   public @Nullable TomlPosition positionOf(String key) {
     TomlPosition p = table.inputPositionOf(List.of(key));
     return p == null ? position : p;
@@ -57,12 +58,12 @@
     return table.contains(List.of(key));
   }
 
-  /** Adds a finding at a key. */
+  /** Adds a finding at the position of a key. */
   public void addFinding(String code, String key, String message, String remedy) {
     findings.add(code, positionOf(key), message, remedy);
   }
 
-  /** Reads a table; an absent one counts as empty. */
+  /** Reads a table; returns an empty section if the key is absent or after a finding. */
   public TomlSection section(String key) {
     Object value = readValue(key);
     if (value instanceof TomlTable t) {
@@ -74,7 +75,7 @@
     return new TomlSection(key, Toml.parse(""), position, findings);
   }
 
-  /** Reads an array of tables; an absent one counts as empty. */
+  /** Reads an array of tables; elements of another type add a finding and are left out. */
   public List<TomlSection> sections(String key) {
     Object value = readValue(key);
     List<TomlSection> sections = new ArrayList<>();
@@ -95,7 +96,7 @@
     return sections;
   }
 
-  /** Reads a string that must be there; returns an empty string after a finding. */
+  /** Reads a required string; returns an empty string after a finding. */
   public String requiredString(String key) {
     String value = string(key, "");
     if (!has(key)) {
@@ -104,7 +105,7 @@
     return value;
   }
 
-  /** Reads a string, or returns the default when it is absent. */
+  /** Reads a string; returns the default if the key is absent or after a finding. */
   public String string(String key, String defaultValue) {
     Object value = readValue(key);
     if (value == null) {
@@ -117,19 +118,19 @@
     return defaultValue;
   }
 
-  /** Reads a string that must be there and converts it; null after a finding. */
+  /** Reads a required string and converts it; returns null after a finding. */
   public <T> @Nullable T required(String key, Function<String, T> conversion) {
     String text = requiredString(key);
     return has(key) ? convert(key, text, conversion) : null;
   }
 
-  /** Reads a string and converts it; null when it is absent or after a finding. */
+  /** Reads a string and converts it; returns null if the key is absent or after a finding. */
   public <T> @Nullable T optional(String key, Function<String, T> conversion) {
     String text = string(key, "");
     return has(key) ? convert(key, text, conversion) : null;
   }
 
-  /** Reads an array of strings; an absent one counts as empty. */
+  /** Reads an array of strings; elements of another type add a finding and are left out. */
   public List<String> strings(String key) {
     Object value = readValue(key);
     List<String> strings = new ArrayList<>();
@@ -150,7 +151,9 @@
     return strings;
   }
 
-  /** Reads an array of strings and converts each; elements with a fault are left out. */
+  /**
+   * Reads an array of strings and converts each; invalid elements add a finding and are left out.
+   */
   public <T> List<T> convertedStrings(String key, Function<String, T> conversion) {
     List<T> values = new ArrayList<>();
     for (String s : strings(key)) {
@@ -162,7 +165,7 @@
     return values;
   }
 
-  /** Reads an integer that must be there and lie in the range; returns min after a finding. */
+  /** Reads a required integer from min to max; returns min after a finding. */
   public long requiredInteger(String key, long min, long max) {
     if (!has(key)) {
       readKeys.add(key);
@@ -172,7 +175,7 @@
     return integer(key, min, max, min);
   }
 
-  /** Reads an integer in the range, or returns the default when it is absent. */
+  /** Reads an integer from min to max; returns the default if absent or after a finding. */
   public long integer(String key, long min, long max, long defaultValue) {
     Object value = readValue(key);
     if (value == null) {
@@ -189,7 +192,7 @@
     return n;
   }
 
-  /** Reads a number in the range, or returns the default when it is absent. */
+  /** Reads a number from min to max; returns the default if absent or after a finding. */
   public double number(String key, double min, double max, double defaultValue) {
     Object value = readValue(key);
     if (value == null) {
@@ -207,7 +210,7 @@
     return d;
   }
 
-  /** Reads a boolean, or returns the default when it is absent. */
+  /** Reads a boolean; returns the default if the key is absent or after a finding. */
   public boolean bool(String key, boolean defaultValue) {
     Object value = readValue(key);
     if (value == null) {
@@ -220,7 +223,7 @@
     return defaultValue;
   }
 
-  /** Adds a finding for every key that was not read. */
+  /** Adds a finding for every key of the table that no read method was called with. */
   public void rejectUnknownKeys() {
     for (String key : table.keySet()) {
       if (!readKeys.contains(key)) {
@@ -233,6 +236,7 @@
     }
   }
 
+  /** Returns the value of a key, or null if it is absent, and records the key as known. */
   private @Nullable Object readValue(String key) {
     readKeys.add(key);
     return table.get(List.of(key));
@@ -248,7 +252,7 @@
   }
 
   private void reportMissing(String key) {
-    addFinding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add it");
+    addFinding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add the key");
   }
 
   private void reportWrongType(String key, String expected) {
--- a/core/src/main/java/org/mustardlatch/core/toml/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/package-info.java
@@ -1,4 +1,4 @@
-/** Reads TOML tables key by key and collects every fault with its line and column. */
+/** Reads TOML tables key by key and reports every fault with its line and column. */
 @NullMarked
 package org.mustardlatch.core.toml;
 
--- a/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
@@ -71,7 +71,8 @@
     fleet.time.schedule(
         Duration.ofNanos(phase),
         () -> {
-          timers.add(fleet.time.scheduleRepeating(Membership.TICK_PERIOD, () -> runOrDefer(this::tick)));
+          timers.add(
+              fleet.time.scheduleRepeating(Membership.TICK_PERIOD, () -> runOrDefer(this::tick)));
           timers.add(
               fleet.time.scheduleRepeating(
                   BudgetClient.TICK_PERIOD,
--- a/core/src/test/java/org/mustardlatch/core/manifest/ManifestParserTest.java
+++ b/core/src/test/java/org/mustardlatch/core/manifest/ManifestParserTest.java
@@ -12,7 +12,10 @@
 import org.mustardlatch.core.error.ParseResult;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Guards against manifests that are applied in part, and against faults reported one at a time. */
+/**
+ * Guards against an invalid manifest that yields a partial result, and against a parser that stops
+ * at the first fault and so needs one run for each.
+ */
 class ManifestParserTest {
   private static String example() throws IOException {
     return Files.readString(Path.of("..", "examples", "manifest.toml"));
--- a/core/src/test/java/org/mustardlatch/core/settings/SettingsParserTest.java
+++ b/core/src/test/java/org/mustardlatch/core/settings/SettingsParserTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.error.ErrorCode;
 
-/** Guards against a daemon that starts with settings that it half understood. */
+/** Guards against a daemon that starts with settings of which a part was ignored or invalid. */
 class SettingsParserTest {
   private static String example() throws IOException {
     return Files.readString(Path.of("..", "examples", "node-a.toml"));
--- a/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against replays whose order of events depends on anything but time and order of calls. */
+/**
+ * Guards against non-deterministic replays: the order of events must depend only on due times and
+ * the order of scheduling.
+ */
 class VirtualTimerServiceTest {
   private final VirtualTimerService timers = new VirtualTimerService();
   private final List<String> calls = new ArrayList<>();
@@ -54,7 +57,8 @@
   void zeroPeriodIsRejected() {
     IllegalArgumentException e =
         assertThrows(
-            IllegalArgumentException.class, () -> timers.scheduleRepeating(Duration.ZERO, () -> record("x")));
+            IllegalArgumentException.class,
+            () -> timers.scheduleRepeating(Duration.ZERO, () -> record("x")));
     assertThat(e).hasMessageThat().isEqualTo("period must be greater than zero, got PT0S");
   }
 }
--- a/replay/src/main/java/org/mustardlatch/replay/TraceFields.java
+++ b/replay/src/main/java/org/mustardlatch/replay/TraceFields.java
@@ -161,7 +161,8 @@
   }
 
   private void add(String code, int column, String message) {
-    findings.add(new Finding(code, new SourceLocation(file, line, column), message, "see docs/TRACES.md"));
+    findings.add(
+        new Finding(code, new SourceLocation(file, line, column), message, "see docs/TRACES.md"));
   }
 
   /** A value with the column of its field name, 1 for the first. */
