--- a/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
+++ b/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
@@ -40,7 +40,7 @@
     HttpUrl url =
         url("/manifest").newBuilder().addQueryParameter("base", "" + baseRevision).build();
     Request request = new Request.Builder().url(url).post(RequestBody.create(text, TOML)).build();
-    return parseJson(execute(request, "run \"mustardlatch status\" to see the active revision"));
+    return parseJson(send(request, "run \"mustardlatch status\" to see the active revision"));
   }
 
   /** Fetches the text of the active manifest. */
@@ -55,7 +55,7 @@
             .url(url("/drain"))
             .post(RequestBody.create("", MediaType.get("text/plain")))
             .build();
-    execute(request, "run \"mustardlatch status\" to see whether the daemon drains");
+    send(request, "run \"mustardlatch status\" to see whether the daemon drains");
   }
 
   /** Fetches a JSON document and returns it indented. */
@@ -64,7 +64,7 @@
   }
 
   private String get(String path) {
-    return execute(new Request.Builder().url(url(path)).build(), "try again");
+    return send(new Request.Builder().url(url(path)).build(), "try again");
   }
 
   private HttpUrl url(String path) {
@@ -85,7 +85,7 @@
    *
    * @param remedyWhenUnknown remedy for the case that the daemon may have executed the request
    */
-  private String execute(Request request, String remedyWhenUnknown) {
+  private String send(Request request, String remedyWhenUnknown) {
     try (Response response = http.newCall(request).execute()) {
       String body = response.body().string();
       if (response.isSuccessful()) {
--- a/cli/src/test/java/org/mustardlatch/cli/MainTest.java
+++ b/cli/src/test/java/org/mustardlatch/cli/MainTest.java
@@ -43,8 +43,8 @@
   @Test
   void helpListsEveryCommandAndExitsWithZero() {
     assertThat(run("--help")).isEqualTo(0);
-    for (CommandHelp command : CommandHelp.values()) {
-      assertThat(out()).contains(command.synopsis());
+    for (CommandHelp help : CommandHelp.values()) {
+      assertThat(out()).contains(help.synopsis());
     }
     assertThat(err()).isEmpty();
   }
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
@@ -23,7 +23,7 @@
  * deployment pipeline shows them in one run.
  */
 public final class ManifestParser {
-  /** Size limit of an object in the object service, which stores the manifest, bytes. */
+  /** Size limit of a manifest in the object service, bytes. */
   public static final int MAX_BYTES = 1_000_000;
 
   private static final long MAX_LINK_BYTES_PER_SECOND = 1_000_000_000_000L;
--- a/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
@@ -51,12 +51,12 @@
       return false;
     }
     nowNanos = Math.max(nowNanos, t.dueNanos);
-    t.task.run();
+    t.action.run();
     return true;
   }
 
   /** A scheduled task; ordered by due time and then by the order of scheduling. */
-  private record Task(long dueNanos, long sequenceNumber, Runnable task)
+  private record Task(long dueNanos, long sequenceNumber, Runnable action)
       implements Comparable<Task> {
     @Override
     public int compareTo(Task other) {
