--- a/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestDiffCommand.java
@@ -7,35 +7,40 @@
 import org.mustardlatch.core.manifest.ManifestDiff;
 import org.mustardlatch.core.manifest.ManifestParser;
 
-/** Compares two manifest files, or the manifest in force with a file. */
+/** Compares two manifest files, or the active manifest with a file. */
 public final class ManifestDiffCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
-  String first = "";
+  String firstFile = "";
 
-  @Argument(index = 1, metaVar = "FILE", usage = "newer manifest; without it, the one in force")
-  String second = "";
+  @Argument(
+      index = 1,
+      metaVar = "FILE",
+      usage = "newer manifest; if absent, the first file is compared with the active manifest")
+  String secondFile = "";
 
   @Option(name = "--node", metaVar = "URL", usage = "operator address of any daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   @Override
   public int run(Console console) {
-    Manifest given = ManifestFile.read(first).orPrint(console);
-    if (given == null) {
+    Manifest firstManifest = ManifestFile.read(firstFile).manifestOrPrintFindings(console);
+    if (firstManifest == null) {
       return ExitCode.FAILED;
     }
-    if (!second.isEmpty()) {
-      Manifest newer = ManifestFile.read(second).orPrint(console);
-      return newer == null ? ExitCode.FAILED : print(console, given, newer);
+    if (!secondFile.isEmpty()) {
+      Manifest secondManifest = ManifestFile.read(secondFile).manifestOrPrintFindings(console);
+      return secondManifest == null
+          ? ExitCode.FAILED
+          : print(console, firstManifest, secondManifest);
     }
-    String inForce = new OperatorClient(node).manifestText();
-    Manifest older =
-        ManifestParser.parse("manifest in force", inForce).orThrow(ErrorCode.MANIFEST_INVALID);
-    return print(console, older, given);
+    String activeText = new OperatorClient(nodeUrl).fetchManifestText();
+    Manifest activeManifest =
+        ManifestParser.parse("active manifest", activeText).orThrow(ErrorCode.MANIFEST_INVALID);
+    return print(console, activeManifest, firstManifest);
   }
 
   private static int print(Console console, Manifest before, Manifest after) {
-    ManifestDiff.between(before, after).changes().forEach(console.out()::println);
+    ManifestDiff.compare(before, after).changes().forEach(console.out()::println);
     return ExitCode.OK;
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/ManifestPublishCommand.java
@@ -4,29 +4,29 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Publishes a manifest through a daemon. */
+/** Publishes a manifest to the fleet through the operator interface of any daemon. */
 public final class ManifestPublishCommand implements Command {
   @Argument(required = true, metaVar = "FILE", usage = "manifest in TOML")
   String file = "";
 
   @Option(name = "--node", metaVar = "URL", usage = "operator address of any daemon")
-  String node = OperatorClient.DEFAULT_NODE;
+  String nodeUrl = OperatorClient.DEFAULT_NODE_URL;
 
   @Option(
       name = "--base",
       required = true,
       metaVar = "N",
       usage = "revision that this manifest replaces; 0 for the first")
-  long base;
+  long baseRevision;
 
   @Override
   public int run(Console console) {
-    ManifestFile manifest = ManifestFile.read(file);
-    if (manifest.orPrint(console) == null) {
+    ManifestFile manifestFile = ManifestFile.read(file);
+    if (manifestFile.manifestOrPrintFindings(console) == null) {
       return ExitCode.FAILED;
     }
-    JsonNode answer = new OperatorClient(node).publish(manifest.text(), base);
-    console.out().println("accepted as revision " + answer.path("revision").asLong());
+    JsonNode response = new OperatorClient(nodeUrl).publish(manifestFile.text(), baseRevision);
+    console.out().println("accepted as revision " + response.path("revision").asLong());
     return ExitCode.OK;
   }
 }
--- a/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
+++ b/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
@@ -13,92 +13,104 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Calls the operator interface of a daemon. */
+/** HTTP client of the operator interface of one daemon. */
 final class OperatorClient {
-  /** Operator address of the example settings. */
-  static final String DEFAULT_NODE = "http://127.0.0.1:8081";
+  /** Operator address of the daemon in the example settings. */
+  static final String DEFAULT_NODE_URL = "http://127.0.0.1:8081";
 
   private static final MediaType TOML = MediaType.get("application/toml; charset=utf-8");
   private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final String node;
+  private final String nodeUrl;
   private final OkHttpClient http =
       new OkHttpClient.Builder().callTimeout(TIMEOUT).retryOnConnectionFailure(false).build();
 
   OperatorClient(String node) {
-    this.node = node;
+    this.nodeUrl = node;
   }
 
-  /** Publishes a manifest on top of a base revision; returns the daemon's answer. */
-  JsonNode publish(String text, long base) {
-    HttpUrl url = url("/manifest").newBuilder().addQueryParameter("base", "" + base).build();
+  /**
+   * Publishes a manifest and returns the response of the daemon.
+   *
+   * @param text manifest in TOML
+   * @param baseRevision revision that the manifest replaces; 0 for the first
+   */
+  JsonNode publish(String text, long baseRevision) {
+    HttpUrl url =
+        url("/manifest").newBuilder().addQueryParameter("base", "" + baseRevision).build();
     Request request = new Request.Builder().url(url).post(RequestBody.create(text, TOML)).build();
-    return json(call(request, "run \"mustardlatch status\" to see the revision in force"));
+    return parseJson(send(request, "run \"mustardlatch status\" to see the active revision"));
   }
 
-  /** Returns the text of the manifest in force. */
-  String manifestText() {
+  /** Fetches the text of the active manifest. */
+  String fetchManifestText() {
     return get("/manifest");
   }
 
-  /** Asks for a graceful stop. */
+  /** Requests a graceful stop of the daemon. */
   void drain() {
     Request request =
         new Request.Builder()
             .url(url("/drain"))
             .post(RequestBody.create("", MediaType.get("text/plain")))
             .build();
-    call(request, "run \"mustardlatch status\" to see whether the daemon drains");
+    send(request, "run \"mustardlatch status\" to see whether the daemon drains");
   }
 
-  /** Returns a JSON document, indented. */
-  String document(String path) {
-    return json(get(path)).toPrettyString();
+  /** Fetches a JSON document and returns it indented. */
+  String fetchDocument(String path) {
+    return parseJson(get(path)).toPrettyString();
   }
 
   private String get(String path) {
-    return call(new Request.Builder().url(url(path)).build(), "try again");
+    return send(new Request.Builder().url(url(path)).build(), "try again");
   }
 
   private HttpUrl url(String path) {
-    HttpUrl base = HttpUrl.parse(node);
+    HttpUrl base = HttpUrl.parse(nodeUrl);
     if (base == null) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "invalid_argument",
           "--node",
-          "\"" + node + "\" is not an http URL",
-          "give the operator address of a daemon, for example " + DEFAULT_NODE,
+          "\"" + nodeUrl + "\" is not an http URL",
+          "specify the operator address of a daemon, for example " + DEFAULT_NODE_URL,
           ExitCode.USAGE);
     }
     return base.newBuilder().encodedPath(path).build();
   }
 
-  private String call(Request request, String remedyWhenUnknown) {
+  /**
+   * Sends a request and returns the body of a successful response.
+   *
+   * @param remedyWhenUnknown remedy for the case that the daemon may have executed the request
+   */
+  private String send(Request request, String remedyWhenUnknown) {
     try (Response response = http.newCall(request).execute()) {
       String body = response.body().string();
       if (response.isSuccessful()) {
         return body;
       }
-      throw refused(request, response.code(), body);
+      throw toException(request, response.code(), body);
     } catch (ConnectException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "unreachable",
           request.url().toString(),
-          "no daemon answers: " + e.getMessage(),
-          "check --node and that the daemon runs",
+          "cannot connect to the daemon: " + e.getMessage(),
+          "check --node and that the daemon is running",
           ExitCode.FAILED);
     } catch (IOException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "outcome_unknown",
           request.url().toString(),
-          "the connection broke before an answer came: " + e.getMessage(),
+          "the connection failed before a complete response was received: " + e.getMessage(),
           remedyWhenUnknown,
-          ExitCode.UNKNOWN);
+          ExitCode.OUTCOME_UNKNOWN);
     }
   }
 
-  private static OperatorApiException refused(Request request, int status, String body) {
+  /** Converts an error response, whose body may be no JSON, to an exception. */
+  private static CommandException toException(Request request, int status, String body) {
     JsonNode error;
     try {
       error = JSON.readTree(body).path("error");
@@ -106,8 +118,8 @@
       error = JSON.createObjectNode();
     }
     String code = error.path("code").asText("http_" + status);
-    int exitCode = code.equals("manifest_unknown") ? ExitCode.UNKNOWN : ExitCode.FAILED;
-    return new OperatorApiException(
+    int exitCode = code.equals("manifest_unknown") ? ExitCode.OUTCOME_UNKNOWN : ExitCode.FAILED;
+    return new CommandException(
         code,
         request.url().toString(),
         error.path("message").asText(body),
@@ -115,13 +127,13 @@
         exitCode);
   }
 
-  private static JsonNode json(String body) {
+  private static JsonNode parseJson(String body) {
     try {
       return JSON.readTree(body);
     } catch (JsonProcessingException e) {
-      throw new OperatorApiException(
+      throw new CommandException(
           "malformed_json",
-          "answer of the daemon",
+          "response of the daemon",
           String.valueOf(e.getOriginalMessage()),
           "check that --node is the operator address",
           ExitCode.FAILED);
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
@@ -19,24 +19,24 @@
 import org.mustardlatch.core.toml.TomlSection;
 
 /**
- * Reads a manifest and checks it as a whole. All faults are reported together, so that a pipeline
- * needs one run to see them.
+ * Parses and validates manifests. All faults of a manifest are reported together, so that a
+ * deployment pipeline shows them in one run.
  */
 public final class ManifestParser {
-  /** Largest manifest that the object service holds, bytes. */
+  /** Size limit of a manifest in the object service, bytes. */
   public static final int MAX_BYTES = 1_000_000;
 
-  private static final long MAX_RATE = 1_000_000_000_000L;
-  private static final int MAX_MILLIS = 3_600_000;
+  private static final long MAX_LINK_BYTES_PER_SECOND = 1_000_000_000_000L;
+  private static final int MAX_TARGET_MILLIS = 3_600_000;
 
   private ManifestParser() {}
 
   /**
-   * Reads a manifest.
+   * Parses a manifest.
    *
-   * @param file name for findings
+   * @param file file name that findings show
    * @param text TOML text
-   * @return the manifest, or every fault with its place
+   * @return the manifest, or every fault with its location
    */
   public static ParseResult<Manifest> parse(String file, String text) {
     TomlFindings findings = new TomlFindings(file);
@@ -56,32 +56,32 @@
     if (!findings.all().isEmpty()) {
       return ParseResult.invalid(findings.all());
     }
-    Manifest manifest = read(root);
+    Manifest manifest = readManifest(root);
     return findings.all().isEmpty()
         ? ParseResult.valid(manifest)
         : ParseResult.invalid(findings.all());
   }
 
-  private static Manifest read(TomlSection root) {
-    TomlSection head = root.section("manifest");
-    String name = head.requiredString("name");
-    Objective objective = head.optional("objective", ManifestParser::objective);
-    head.rejectUnknownKeys();
-    ManifestReferences references = new ManifestReferences();
+  private static Manifest readManifest(TomlSection root) {
+    TomlSection manifestSection = root.section("manifest");
+    String name = manifestSection.requiredString("name");
+    Objective objective = manifestSection.optional("objective", ManifestParser::parseObjective);
+    manifestSection.rejectUnknownKeys();
+    DefinedNames definedNames = new DefinedNames();
     List<Region> regions = new ArrayList<>();
-    root.sections("region").forEach(s -> addRegion(s, regions, references));
+    root.sections("region").forEach(s -> addRegion(s, regions, definedNames));
     if (regions.isEmpty()) {
-      root.finding("missing_key", "region", "the manifest has no region", "add a [[region]]");
+      root.addFinding("missing_key", "region", "the manifest has no region", "add a [[region]]");
     }
     CrossRegionLink link = readLink(root.section("link"));
     List<Workspace> workspaces = new ArrayList<>();
-    root.sections("workspace").forEach(s -> addWorkspace(s, workspaces, references));
+    root.sections("workspace").forEach(s -> addWorkspace(s, workspaces, definedNames));
     List<Model> models = new ArrayList<>();
-    root.sections("model").forEach(s -> addModel(s, models, references));
+    root.sections("model").forEach(s -> addModel(s, models, definedNames));
     List<Upstream> upstreams = new ArrayList<>();
-    root.sections("upstream").forEach(s -> addUpstream(s, upstreams, references));
+    root.sections("upstream").forEach(s -> addUpstream(s, upstreams, definedNames));
     List<Route> routes = new ArrayList<>();
-    root.sections("route").forEach(s -> addRoute(s, routes, references));
+    root.sections("route").forEach(s -> addRoute(s, routes, definedNames));
     LedgerPolicy ledger = readLedger(root.section("ledger"));
     Limits limits = readLimits(root.section("limits"));
     root.rejectUnknownKeys();
@@ -97,11 +97,11 @@
             routes,
             ledger,
             limits);
-    checkPools(root, manifest);
+    checkModelsAreServed(root, manifest);
     return manifest;
   }
 
-  private static Objective objective(String text) {
+  private static Objective parseObjective(String text) {
     return switch (text) {
       case "waste-averse" -> Objective.WASTE_AVERSE;
       case "crest-averse" -> Objective.CREST_AVERSE;
@@ -111,16 +111,15 @@
     };
   }
 
-  private static void addRegion(
-      TomlSection s, List<Region> regions, ManifestReferences references) {
+  private static void addRegion(TomlSection s, List<Region> regions, DefinedNames definedNames) {
     RegionId id = s.required("name", RegionId::new);
-    List<ZoneId> zones = s.list("zones", ZoneId::new);
+    List<ZoneId> zones = s.convertedStrings("zones", ZoneId::new);
     if (zones.isEmpty()) {
-      s.finding("missing_key", "zones", "the region has no availability zone", "add zones");
+      s.addFinding("missing_key", "zones", "the region has no availability zone", "add zones");
     }
     if (id != null) {
-      references.define(s, "region", "name", id.value());
-      zones.forEach(z -> references.define(s, "zone", "zones", z.value()));
+      definedNames.define(s, "region", "name", id.value());
+      zones.forEach(z -> definedNames.define(s, "zone", "zones", z.value()));
       regions.add(new Region(id, zones));
     }
     s.rejectUnknownKeys();
@@ -129,80 +128,91 @@
   private static CrossRegionLink readLink(TomlSection s) {
     CrossRegionLink link =
         new CrossRegionLink(
-            s.integer("cross_region_bytes_per_second", 0, MAX_RATE, 0),
+            s.integer("cross_region_bytes_per_second", 0, MAX_LINK_BYTES_PER_SECOND, 0),
             s.number("cross_region_budget_fraction", 0, 1, 0.5));
     s.rejectUnknownKeys();
     return link;
   }
 
   private static void addWorkspace(
-      TomlSection s, List<Workspace> workspaces, ManifestReferences references) {
+      TomlSection s, List<Workspace> workspaces, DefinedNames definedNames) {
     WorkspaceId id = s.required("name", WorkspaceId::new);
-    List<String> keys = s.list("api_keys_sha256", ManifestParser::digest);
+    List<String> keyDigests = s.convertedStrings("api_keys_sha256", ManifestParser::requireDigest);
     double weight = s.number("weight", 0.001, 1000, 1);
-    double rate = s.number("requests_per_second", 0, 1_000_000, 1_000_000);
-    long concurrent = s.integer("max_concurrent", 1, 1_000_000, 1_000_000);
+    double requestsPerSecond = s.number("requests_per_second", 0, 1_000_000, 1_000_000);
+    long maxConcurrent = s.integer("max_concurrent", 1, 1_000_000, 1_000_000);
     if (id != null) {
-      references.define(s, "workspace", "name", id.value());
-      keys.forEach(k -> references.define(s, "API key", "api_keys_sha256", k));
-      workspaces.add(new Workspace(id, keys, weight, rate, (int) concurrent));
+      definedNames.define(s, "workspace", "name", id.value());
+      keyDigests.forEach(k -> definedNames.define(s, "API key", "api_keys_sha256", k));
+      workspaces.add(new Workspace(id, keyDigests, weight, requestsPerSecond, (int) maxConcurrent));
     }
     s.rejectUnknownKeys();
   }
 
-  private static String digest(String text) {
+  private static String requireDigest(String text) {
     if (!text.matches("[0-9a-f]{64}")) {
       throw new IllegalArgumentException("must be SHA-256 digests of 64 hexadecimal digits");
     }
     return text;
   }
 
-  private static void addModel(TomlSection s, List<Model> models, ManifestReferences references) {
+  private static void addModel(TomlSection s, List<Model> models, DefinedNames definedNames) {
     ModelId id = s.required("name", ModelId::new);
-    Duration firstToken = millis(s, "first_token_target_ms", 900);
-    Duration gap = millis(s, "token_gap_target_ms", 68);
-    long maxPrompt = s.integer("max_prompt_tokens", 1, 10_000_000, 32_768);
-    long kvBytes = s.integer("kv_bytes_per_token", 1, 1_000_000_000, 131_072);
+    Duration firstTokenTarget = readMillis(s, "first_token_target_ms", 900);
+    Duration tokenGapTarget = readMillis(s, "token_gap_target_ms", 68);
+    long maxPromptTokens = s.integer("max_prompt_tokens", 1, 10_000_000, 32_768);
+    long kvBytesPerToken = s.integer("kv_bytes_per_token", 1, 1_000_000_000, 131_072);
     if (id != null) {
-      references.define(s, "model", "name", id.value());
-      models.add(new Model(id, firstToken, gap, (int) maxPrompt, kvBytes));
+      definedNames.define(s, "model", "name", id.value());
+      models.add(
+          new Model(id, firstTokenTarget, tokenGapTarget, (int) maxPromptTokens, kvBytesPerToken));
     }
     s.rejectUnknownKeys();
   }
 
-  private static Duration millis(TomlSection s, String key, long defaultMillis) {
-    return Duration.ofMillis(s.integer(key, 1, MAX_MILLIS, defaultMillis));
+  private static Duration readMillis(TomlSection s, String key, long defaultMillis) {
+    return Duration.ofMillis(s.integer(key, 1, MAX_TARGET_MILLIS, defaultMillis));
   }
 
   private static void addUpstream(
-      TomlSection s, List<Upstream> upstreams, ManifestReferences references) {
+      TomlSection s, List<Upstream> upstreams, DefinedNames definedNames) {
     UpstreamId id = s.required("name", UpstreamId::new);
-    boolean engine = Boolean.TRUE.equals(s.required("kind", ManifestParser::isEngine));
+    boolean isEngine = Boolean.TRUE.equals(s.required("kind", ManifestParser::isEngineKind));
     UpstreamRole role =
-        engine ? s.required("role", ManifestParser::role) : UpstreamRole.APPLICATION;
-    ModelId model = engine ? s.required("model", ModelId::new) : null;
+        isEngine ? s.required("role", ManifestParser::parseRole) : UpstreamRole.APPLICATION;
+    ModelId model = isEngine ? s.required("model", ModelId::new) : null;
     ZoneId zone = s.required("zone", ZoneId::new);
-    URI url = s.required("url", ManifestParser::url);
-    long slots = s.integer("slots", 1, 100_000, engine ? 20 : 100);
-    boolean prefills = role != null && role.prefills();
-    long rate = prefills ? s.requiredInteger("prefill_tokens_per_second", 1, 100_000_000) : 0;
-    long pieces = engine ? s.integer("memory_pieces", 1, 1_000_000, 400) : 0;
-    boolean fencing = s.bool("checks_fencing", false);
+    URI url = s.required("url", ManifestParser::parseUrl);
+    long slots = s.integer("slots", 1, 100_000, isEngine ? 20 : 100);
+    boolean doesPrefill = role != null && role.prefills();
+    long prefillTokensPerSecond =
+        doesPrefill ? s.requiredInteger("prefill_tokens_per_second", 1, 100_000_000) : 0;
+    long memoryPieces = isEngine ? s.integer("memory_pieces", 1, 1_000_000, 400) : 0;
+    boolean checksFencing = s.bool("checks_fencing", false);
     boolean leaving = s.bool("leaving", false);
     if (id != null) {
-      references.define(s, "upstream", "name", id.value());
+      definedNames.define(s, "upstream", "name", id.value());
     }
-    references.check(s, "zone", "zone", zone == null ? null : zone.value());
-    references.check(s, "model", "model", model == null ? null : model.value());
+    definedNames.checkReference(s, "zone", "zone", zone == null ? null : zone.value());
+    definedNames.checkReference(s, "model", "model", model == null ? null : model.value());
     if (id != null && role != null && zone != null && url != null) {
       upstreams.add(
           new Upstream(
-              id, role, model, zone, url, (int) slots, (int) rate, (int) pieces, fencing, leaving));
+              id,
+              role,
+              model,
+              zone,
+              url,
+              (int) slots,
+              (int) prefillTokensPerSecond,
+              (int) memoryPieces,
+              checksFencing,
+              leaving));
     }
     s.rejectUnknownKeys();
   }
 
-  private static boolean isEngine(String kind) {
+  private static boolean isEngineKind(String kind) {
     return switch (kind) {
       case "engine" -> true;
       case "application" -> false;
@@ -211,7 +221,7 @@
     };
   }
 
-  private static UpstreamRole role(String role) {
+  private static UpstreamRole parseRole(String role) {
     return switch (role) {
       case "prefill" -> UpstreamRole.PREFILL;
       case "decode" -> UpstreamRole.DECODE;
@@ -221,7 +231,7 @@
     };
   }
 
-  private static URI url(String text) {
+  private static URI parseUrl(String text) {
     URI uri = URI.create(text);
     String scheme = String.valueOf(uri.getScheme());
     if (uri.getHost() == null || !(scheme.equals("http") || scheme.equals("https"))) {
@@ -230,28 +240,28 @@
     return uri;
   }
 
-  private static void addRoute(TomlSection s, List<Route> routes, ManifestReferences references) {
-    String path = s.required("path", ManifestParser::path);
+  private static void addRoute(TomlSection s, List<Route> routes, DefinedNames definedNames) {
+    String path = s.required("path", ManifestParser::requirePath);
     Set<String> methods = new TreeSet<>();
     s.strings("methods").forEach(m -> methods.add(m.toUpperCase(Locale.ROOT)));
-    List<UpstreamId> upstreams = s.list("upstreams", UpstreamId::new);
-    upstreams.forEach(u -> references.check(s, "upstream", "upstreams", u.value()));
+    List<UpstreamId> upstreams = s.convertedStrings("upstreams", UpstreamId::new);
+    upstreams.forEach(u -> definedNames.checkReference(s, "upstream", "upstreams", u.value()));
     boolean idempotent = s.bool("idempotent", false);
-    @Nullable String outcomePath = s.optional("outcome_path", ManifestParser::path);
+    @Nullable String outcomePath = s.optional("outcome_path", ManifestParser::requirePath);
     if (methods.isEmpty()) {
-      s.finding("missing_key", "methods", "the route has no methods", "add methods");
+      s.addFinding("missing_key", "methods", "the route has no methods", "add methods");
     }
     if (upstreams.isEmpty()) {
-      s.finding("missing_key", "upstreams", "the route has no upstreams", "add upstreams");
+      s.addFinding("missing_key", "upstreams", "the route has no upstreams", "add upstreams");
     }
     if (path != null) {
-      methods.forEach(m -> references.define(s, "route", "path", m + " " + path));
+      methods.forEach(m -> definedNames.define(s, "route", "path", m + " " + path));
       routes.add(new Route(path, methods, upstreams, idempotent, outcomePath));
     }
     s.rejectUnknownKeys();
   }
 
-  private static String path(String text) {
+  private static String requirePath(String text) {
     if (!text.startsWith("/") || text.startsWith("/v1/")) {
       throw new IllegalArgumentException(
           "\"" + text + "\" must start with a slash and must not lie under /v1/");
@@ -277,17 +287,20 @@
     return limits;
   }
 
-  /** A model without a prefill and a decode engine in one region could never answer. */
-  private static void checkPools(TomlSection root, Manifest manifest) {
+  /**
+   * Adds a finding for every model without both a prefill and a decode engine in one region,
+   * because no request for such a model could be served. Leaving (draining) engines don't count.
+   */
+  private static void checkModelsAreServed(TomlSection root, Manifest manifest) {
     for (Model model : manifest.models()) {
       boolean served =
           manifest.regions().stream()
               .anyMatch(
                   r ->
-                      has(manifest, model, r, UpstreamRole::prefills)
-                          && has(manifest, model, r, UpstreamRole::decodes));
+                      hasUpstream(manifest, model, r, UpstreamRole::prefills)
+                          && hasUpstream(manifest, model, r, UpstreamRole::decodes));
       if (!served) {
-        root.finding(
+        root.addFinding(
             "model_without_engines",
             "model",
             "model \"" + model.id() + "\" has no region with both a prefill and a decode engine",
@@ -296,13 +309,13 @@
     }
   }
 
-  private static boolean has(
-      Manifest manifest, Model model, Region region, Predicate<UpstreamRole> role) {
+  private static boolean hasUpstream(
+      Manifest manifest, Model model, Region region, Predicate<UpstreamRole> hasRole) {
     return manifest.upstreams().stream()
         .anyMatch(
             u ->
                 model.id().equals(u.model())
-                    && role.test(u.role())
+                    && hasRole.test(u.role())
                     && !u.leaving()
                     && region.zones().contains(u.zone()));
   }
--- a/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
+++ b/core/src/main/java/org/mustardlatch/core/time/VirtualTimerService.java
@@ -4,14 +4,14 @@
 import java.util.PriorityQueue;
 
 /**
- * A timer service whose time moves only when it is told to; for tests and replay. Tasks that are
- * due at the same time run in the order in which they were scheduled. Not safe for use by several
- * threads.
+ * A timer service with virtual time, for tests and replay: time advances only by calls of {@link
+ * #advance} and {@link #runNext}, which run the due tasks on the calling thread. Tasks that are due
+ * at the same time run in the order in which they were scheduled. Not thread-safe.
  */
 public final class VirtualTimerService implements TimerService {
   private final PriorityQueue<Task> tasks = new PriorityQueue<>();
   private long nowNanos;
-  private long scheduled;
+  private long scheduledCount;
 
   @Override
   public long nanos() {
@@ -20,56 +20,59 @@
 
   @Override
   public TimerSubscription schedule(Duration delay, Runnable task) {
-    Task t = new Task(nowNanos + Math.max(0, delay.toNanos()), scheduled++, task);
+    Task t = new Task(nowNanos + Math.max(0, delay.toNanos()), scheduledCount++, task);
     tasks.add(t);
     return () -> tasks.remove(t);
   }
 
   @Override
-  public TimerSubscription every(Duration period, Runnable task) {
+  public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     if (period.isZero() || period.isNegative()) {
       throw new IllegalArgumentException("period must be greater than zero, got " + period);
     }
-    Repeater repeater = new Repeater(period, task);
-    repeater.next = schedule(period, repeater);
-    return repeater;
+    RepeatingTask repeatingTask = new RepeatingTask(period, task);
+    repeatingTask.nextRun = schedule(period, repeatingTask);
+    return repeatingTask;
   }
 
-  /** Moves time forward by the given duration and runs every task that becomes due, in order. */
+  /** Advances time by the given duration and runs every task that becomes due, in order. */
   public void advance(Duration duration) {
     long end = nowNanos + duration.toNanos();
-    while (!tasks.isEmpty() && tasks.peek().atNanos <= end) {
+    while (!tasks.isEmpty() && tasks.peek().dueNanos <= end) {
       runNext();
     }
     nowNanos = end;
   }
 
-  /** Moves time to the next task and runs it; returns false when there is none. */
+  /** Advances time to the next task and runs it; returns false if no task is scheduled. */
   public boolean runNext() {
     Task t = tasks.poll();
     if (t == null) {
       return false;
     }
-    nowNanos = Math.max(nowNanos, t.atNanos);
+    nowNanos = Math.max(nowNanos, t.dueNanos);
     t.action.run();
     return true;
   }
 
-  private record Task(long atNanos, long order, Runnable action) implements Comparable<Task> {
+  /** A scheduled task; ordered by due time and then by the order of scheduling. */
+  private record Task(long dueNanos, long sequenceNumber, Runnable action)
+      implements Comparable<Task> {
     @Override
     public int compareTo(Task other) {
-      int byTime = Long.compare(atNanos, other.atNanos);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int timeOrder = Long.compare(dueNanos, other.dueNanos);
+      return timeOrder != 0 ? timeOrder : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
-  private final class Repeater implements Runnable, TimerSubscription {
+  /** A periodic task, which schedules its next run after each run. */
+  private final class RepeatingTask implements Runnable, TimerSubscription {
     private final Duration period;
     private final Runnable task;
-    private TimerSubscription next = () -> {};
+    private TimerSubscription nextRun = () -> {};
     private boolean cancelled;
 
-    Repeater(Duration period, Runnable task) {
+    RepeatingTask(Duration period, Runnable task) {
       this.period = period;
       this.task = task;
     }
@@ -78,14 +81,14 @@
     public void run() {
       task.run();
       if (!cancelled) {
-        next = schedule(period, this);
+        nextRun = schedule(period, this);
       }
     }
 
     @Override
     public void cancel() {
       cancelled = true;
-      next.cancel();
+      nextRun.cancel();
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
@@ -13,15 +13,16 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file. Each read of a key checks its type and range; a fault becomes a finding
- * and the read returns a fallback, so that all faults of a file are found in one pass.
+ * Reader of one table of a TOML file. Each read of a key checks the type and range of its value. An
+ * invalid value adds a finding and the read returns a fallback value, so that one pass finds all
+ * faults of a file.
  */
 public final class TomlSection {
   private final String name;
   private final TomlTable table;
   private final @Nullable TomlPosition position;
   private final TomlFindings findings;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> readKeys = new HashSet<>();
 
   private TomlSection(
       String name, TomlTable table, @Nullable TomlPosition position, TomlFindings findings) {
@@ -31,7 +32,7 @@
     this.findings = findings;
   }
 
-  /** Reads a whole file; syntax errors become findings with the code {@code toml_syntax}. */
+  /** Parses a whole file; each syntax error adds a finding with the code {@code toml_syntax}. */
   public static TomlSection parse(String text, TomlFindings findings) {
     TomlParseResult result = Toml.parse(text);
     result
@@ -46,7 +47,7 @@
     return new TomlSection("file", result, TomlPosition.positionAt(1, 1), findings);
   }
 
-  /** Returns where a key stands, or where the table starts when the key is absent. */
+  /** Returns the position of a key, or of the start of the table if the key is absent. */
   public @Nullable TomlPosition positionOf(String key) {
     TomlPosition p = table.inputPositionOf(List.of(key));
     return p == null ? position : p;
@@ -57,101 +58,103 @@
     return table.contains(List.of(key));
   }
 
-  /** Adds a finding at a key. */
-  public void finding(String code, String key, String message, String remedy) {
+  /** Adds a finding at the position of a key. */
+  public void addFinding(String code, String key, String message, String remedy) {
     findings.add(code, positionOf(key), message, remedy);
   }
 
-  /** Reads a table; an absent one counts as empty. */
+  /** Reads a table; returns an empty section if the key is absent or after a finding. */
   public TomlSection section(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value instanceof TomlTable t) {
       return new TomlSection(key, t, positionOf(key), findings);
     }
     if (value != null) {
-      wrongType(key, "a table");
+      reportWrongType(key, "a table");
     }
     return new TomlSection(key, Toml.parse(""), position, findings);
   }
 
-  /** Reads an array of tables; an absent one counts as empty. */
+  /** Reads an array of tables; elements of another type add a finding and are left out. */
   public List<TomlSection> sections(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     List<TomlSection> sections = new ArrayList<>();
     if (value == null) {
       return sections;
     }
     if (!(value instanceof TomlArray array)) {
-      wrongType(key, "an array of tables");
+      reportWrongType(key, "an array of tables");
       return sections;
     }
     for (int i = 0; i < array.size(); i++) {
       if (array.get(i) instanceof TomlTable t) {
         sections.add(new TomlSection(key, t, array.inputPositionOf(i), findings));
       } else {
-        wrongType(key, "an array of tables");
+        reportWrongType(key, "an array of tables");
       }
     }
     return sections;
   }
 
-  /** Reads a string that must be there; returns an empty string after a finding. */
+  /** Reads a required string; returns an empty string after a finding. */
   public String requiredString(String key) {
     String value = string(key, "");
     if (!has(key)) {
-      missing(key);
+      reportMissing(key);
     }
     return value;
   }
 
-  /** Reads a string, or returns the default when it is absent. */
+  /** Reads a string; returns the default if the key is absent or after a finding. */
   public String string(String key, String defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (value instanceof String s) {
       return s;
     }
-    wrongType(key, "a string");
+    reportWrongType(key, "a string");
     return defaultValue;
   }
 
-  /** Reads a string that must be there and converts it; null after a finding. */
+  /** Reads a required string and converts it; returns null after a finding. */
   public <T> @Nullable T required(String key, Function<String, T> conversion) {
     String text = requiredString(key);
     return has(key) ? convert(key, text, conversion) : null;
   }
 
-  /** Reads a string and converts it; null when it is absent or after a finding. */
+  /** Reads a string and converts it; returns null if the key is absent or after a finding. */
   public <T> @Nullable T optional(String key, Function<String, T> conversion) {
     String text = string(key, "");
     return has(key) ? convert(key, text, conversion) : null;
   }
 
-  /** Reads an array of strings; an absent one counts as empty. */
+  /** Reads an array of strings; elements of another type add a finding and are left out. */
   public List<String> strings(String key) {
-    Object value = value(key);
+    Object value = readValue(key);
     List<String> strings = new ArrayList<>();
     if (value == null) {
       return strings;
     }
     if (!(value instanceof TomlArray array)) {
-      wrongType(key, "an array of strings");
+      reportWrongType(key, "an array of strings");
       return strings;
     }
     for (int i = 0; i < array.size(); i++) {
       if (array.get(i) instanceof String s) {
         strings.add(s);
       } else {
-        wrongType(key, "an array of strings");
+        reportWrongType(key, "an array of strings");
       }
     }
     return strings;
   }
 
-  /** Reads an array of strings and converts each; elements with a fault are left out. */
-  public <T> List<T> list(String key, Function<String, T> conversion) {
+  /**
+   * Reads an array of strings and converts each; invalid elements add a finding and are left out.
+   */
+  public <T> List<T> convertedStrings(String key, Function<String, T> conversion) {
     List<T> values = new ArrayList<>();
     for (String s : strings(key)) {
       T value = convert(key, s, conversion);
@@ -162,69 +165,69 @@
     return values;
   }
 
-  /** Reads an integer that must be there and lie in the range; returns min after a finding. */
+  /** Reads a required integer from min to max; returns min after a finding. */
   public long requiredInteger(String key, long min, long max) {
     if (!has(key)) {
-      known.add(key);
-      missing(key);
+      readKeys.add(key);
+      reportMissing(key);
       return min;
     }
     return integer(key, min, max, min);
   }
 
-  /** Reads an integer in the range, or returns the default when it is absent. */
+  /** Reads an integer from min to max; returns the default if absent or after a finding. */
   public long integer(String key, long min, long max, long defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (!(value instanceof Long n)) {
-      wrongType(key, "an integer");
+      reportWrongType(key, "an integer");
       return defaultValue;
     }
     if (n < min || n > max) {
-      outOfRange(key, n, min, max);
+      reportOutOfRange(key, n, min, max);
       return defaultValue;
     }
     return n;
   }
 
-  /** Reads a number in the range, or returns the default when it is absent. */
+  /** Reads a number from min to max; returns the default if absent or after a finding. */
   public double number(String key, double min, double max, double defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (!(value instanceof Number n)) {
-      wrongType(key, "a number");
+      reportWrongType(key, "a number");
       return defaultValue;
     }
     double d = n.doubleValue();
     if (!(d >= min && d <= max)) {
-      outOfRange(key, n, min, max);
+      reportOutOfRange(key, n, min, max);
       return defaultValue;
     }
     return d;
   }
 
-  /** Reads a boolean, or returns the default when it is absent. */
+  /** Reads a boolean; returns the default if the key is absent or after a finding. */
   public boolean bool(String key, boolean defaultValue) {
-    Object value = value(key);
+    Object value = readValue(key);
     if (value == null) {
       return defaultValue;
     }
     if (value instanceof Boolean b) {
       return b;
     }
-    wrongType(key, "true or false");
+    reportWrongType(key, "true or false");
     return defaultValue;
   }
 
-  /** Adds a finding for every key that was not read. */
+  /** Adds a finding for every key of the table that no read method was called with. */
   public void rejectUnknownKeys() {
     for (String key : table.keySet()) {
-      if (!known.contains(key)) {
-        finding(
+      if (!readKeys.contains(key)) {
+        addFinding(
             "unknown_key",
             key,
             "unknown key \"" + key + "\" in " + name,
@@ -233,8 +236,9 @@
     }
   }
 
-  private @Nullable Object value(String key) {
-    known.add(key);
+  /** Returns the value of a key, or null if it is absent, and records the key as known. */
+  private @Nullable Object readValue(String key) {
+    readKeys.add(key);
     return table.get(List.of(key));
   }
 
@@ -242,21 +246,21 @@
     try {
       return conversion.apply(text);
     } catch (IllegalArgumentException e) {
-      finding("invalid_value", key, key + ": " + e.getMessage(), "correct the value");
+      addFinding("invalid_value", key, key + ": " + e.getMessage(), "correct the value");
       return null;
     }
   }
 
-  private void missing(String key) {
-    finding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add it");
+  private void reportMissing(String key) {
+    addFinding("missing_key", key, "key \"" + key + "\" is missing in " + name, "add the key");
   }
 
-  private void wrongType(String key, String expected) {
-    finding("wrong_type", key, key + " must be " + expected, "correct the value");
+  private void reportWrongType(String key, String expected) {
+    addFinding("wrong_type", key, key + " must be " + expected, "correct the value");
   }
 
-  private void outOfRange(String key, Number value, Number min, Number max) {
-    finding(
+  private void reportOutOfRange(String key, Number value, Number min, Number max) {
+    addFinding(
         "out_of_range",
         key,
         key + " is " + value + ", must be from " + min + " to " + max,
--- a/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
@@ -8,20 +8,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against replays whose order of events depends on anything but time and order of calls. */
+/**
+ * Guards against non-deterministic replays: the order of events must depend only on due times and
+ * the order of scheduling.
+ */
 class VirtualTimerServiceTest {
   private final VirtualTimerService timers = new VirtualTimerService();
   private final List<String> calls = new ArrayList<>();
 
-  private void record(String name) {
+  private void recordCall(String name) {
     calls.add(name + "@" + timers.nanos() / 1_000_000);
   }
 
   @Test
-  void tasksRunInOrderOfTimeAndThenOfScheduling() {
-    timers.schedule(Duration.ofMillis(20), () -> record("late"));
-    timers.schedule(Duration.ofMillis(10), () -> record("first"));
-    timers.schedule(Duration.ofMillis(10), () -> record("second"));
+  void tasksRunInOrderOfDueTimeAndThenOfScheduling() {
+    timers.schedule(Duration.ofMillis(20), () -> recordCall("late"));
+    timers.schedule(Duration.ofMillis(10), () -> recordCall("first"));
+    timers.schedule(Duration.ofMillis(10), () -> recordCall("second"));
     timers.advance(Duration.ofMillis(30));
     assertThat(calls).containsExactly("first@10", "second@10", "late@20").inOrder();
     assertThat(timers.nanos()).isEqualTo(30_000_000);
@@ -29,21 +32,21 @@
 
   @Test
   void cancelledTaskDoesNotRun() {
-    timers.schedule(Duration.ofMillis(10), () -> record("x")).cancel();
+    timers.schedule(Duration.ofMillis(10), () -> recordCall("x")).cancel();
     timers.advance(Duration.ofMillis(30));
     assertThat(calls).isEmpty();
   }
 
   @Test
-  void repeatedTaskRunsEachPeriodUntilItCancelsItself() {
-    List<TimerSubscription> own = new ArrayList<>();
-    own.add(
-        timers.every(
+  void repeatingTaskRunsEveryPeriodUntilItCancelsItself() {
+    List<TimerSubscription> subscriptions = new ArrayList<>();
+    subscriptions.add(
+        timers.scheduleRepeating(
             Duration.ofMillis(10),
             () -> {
-              record("tick");
+              recordCall("tick");
               if (calls.size() == 3) {
-                own.get(0).cancel();
+                subscriptions.get(0).cancel();
               }
             }));
     timers.advance(Duration.ofMillis(100));
@@ -51,10 +54,11 @@
   }
 
   @Test
-  void periodOfZeroIsRefused() {
+  void zeroPeriodIsRejected() {
     IllegalArgumentException e =
         assertThrows(
-            IllegalArgumentException.class, () -> timers.every(Duration.ZERO, () -> record("x")));
+            IllegalArgumentException.class,
+            () -> timers.scheduleRepeating(Duration.ZERO, () -> recordCall("x")));
     assertThat(e).hasMessageThat().isEqualTo("period must be greater than zero, got PT0S");
   }
 }
