--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
@@ -83,7 +83,7 @@
 
   /** Spreads evidence to all other nodes. */
   public void spread(EvidenceMessage message) {
-    node.spread(message);
+    node.broadcast(message);
   }
 
   /** Reports the peer addresses that the object service lists. */
@@ -97,7 +97,7 @@
    * @param revision 0 with empty text when the object service holds none
    */
   public void manifestStored(long revision, String text) {
-    node.stored(revision, text);
+    node.manifestStored(revision, text);
   }
 
   /**
@@ -105,7 +105,7 @@
    * PeerServiceListener#manifestAccepted} follows once it can't be lost.
    */
   public void manifestPublished(long revision, String text) {
-    node.published(revision, text);
+    node.manifestPublished(revision, text);
   }
 
   /**
@@ -139,12 +139,12 @@
 
   /** Returns the manifest revision in force; 0 for none. */
   public long revision() {
-    return node.revision();
+    return node.activeRevision();
   }
 
   /** Returns whether the manifest in force is recent enough to serve requests. */
   public boolean configurationReady() {
-    return node.ready();
+    return node.configurationReady();
   }
 
   /** Returns counts since the start by name. */
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void suspected(HostId host) {
+    public void nodeSuspected(HostId host) {
       EventLog.log(LogEvent.NODE_SUSPECTED, host);
     }
 
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public boolean apply(long revision, String text) {
+    public boolean applyManifest(long revision, String text) {
       boolean applied = gate.apply(revision, text);
       if (applied) {
         each(l -> l.manifestInForce(revision, text));
@@ -220,29 +220,29 @@
     }
 
     @Override
-    public void accepted(long revision) {
+    public void manifestAccepted(long revision) {
       EventLog.log(LogEvent.MANIFEST_ACCEPTED, revision);
       each(l -> l.manifestAccepted(revision));
     }
 
     @Override
-    public void watchChanged(boolean watch) {
+    public void manifestWatchChanged(boolean watch) {
       each(l -> l.watchManifest(watch));
     }
 
     @Override
-    public void ready(long revision) {
+    public void configurationReady(long revision) {
       EventLog.log(LogEvent.CONFIGURATION_READY, revision);
       each(l -> l.configurationReady(revision));
     }
 
     @Override
-    public void received(HostId from, long incarnation, PeerMessage message) {
+    public void messageReceived(HostId from, long incarnation, PeerMessage message) {
       each(l -> l.received(from, incarnation, message));
     }
 
     @Override
-    public void unexpected(Throwable error) {
+    public void unexpectedError(Throwable error) {
       EventLog.log(LogEvent.UNEXPECTED_ERROR, "peers", error);
     }
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/PeerLink.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/PeerLink.java
@@ -102,7 +102,7 @@
   }
 
   @Override
-  public void suspected(HostId host) {
+  public void nodeSuspected(HostId host) {
     EventLog.log(LogEvent.NODE_SUSPECTED, host);
   }
 
@@ -113,22 +113,22 @@
   }
 
   @Override
-  public boolean apply(long revision, String text) {
+  public boolean applyManifest(long revision, String text) {
     // The platform's store holds the configuration; nodes do not pass one on.
     return false;
   }
 
   @Override
-  public void accepted(long revision) {}
+  public void manifestAccepted(long revision) {}
 
   @Override
-  public void watchChanged(boolean watch) {}
+  public void manifestWatchChanged(boolean watch) {}
 
   @Override
-  public void ready(long revision) {}
+  public void configurationReady(long revision) {}
 
   @Override
-  public void received(HostId from, long incarnation, PeerMessage message) {
+  public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
       case AdmissionMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
       case EvidenceMessage m -> post(new RoutingEvent.PeerMessageReceived(from, m));
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public void unexpected(Throwable error) {
+  public void unexpectedError(Throwable error) {
     EventLog.log(LogEvent.UNEXPECTED_ERROR, "peers", error);
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/AdmissionCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/AdmissionCodec.java
@@ -105,7 +105,7 @@
             outcome(m.getOutcome()));
       }
       case CELL_SUMMARY -> summary(e.getCellSummary());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 
@@ -134,7 +134,7 @@
         m.getPromptTokens(),
         m.getMaxOutputTokens(),
         m.getPrefixBlocksList(),
-        PeerCodec.fingerprint(m.getFingerprint()),
+        PeerCodec.fingerprintFromBytes(m.getFingerprint()),
         m.getFirstTokenBudgetNanos(),
         m.getFinalBudgetNanos(),
         m.getExcludedList().stream().map(UpstreamId::new).toList());
@@ -163,7 +163,7 @@
         new ModelId(m.getModel()),
         m.getPromptTokens(),
         m.getMaxOutputTokens(),
-        PeerCodec.fingerprint(m.getFingerprint()),
+        PeerCodec.fingerprintFromBytes(m.getFingerprint()),
         new UpstreamId(m.getSource()),
         m.getKvBudgetNanos(),
         m.getExcludedList().stream().map(UpstreamId::new).toList());
@@ -206,7 +206,7 @@
       case STAGE_PREFILL -> AdmissionMessage.Stage.PREFILL;
       case STAGE_TRANSFER -> AdmissionMessage.Stage.TRANSFER;
       case STAGE_DECODE -> AdmissionMessage.Stage.DECODE;
-      case STAGE_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.badEnum("stage", stage);
+      case STAGE_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.invalidEnum("stage", stage);
     };
   }
 
@@ -227,7 +227,7 @@
       case OUTCOME_FAILED -> AdmissionMessage.Outcome.FAILED;
       case OUTCOME_CRASHED -> AdmissionMessage.Outcome.CRASHED;
       case OUTCOME_REFUSED -> AdmissionMessage.Outcome.REFUSED;
-      case OUTCOME_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.badEnum("outcome", outcome);
+      case OUTCOME_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.invalidEnum("outcome", outcome);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
@@ -29,7 +29,7 @@
               e.getBudgetLease().getBudget(),
               e.getBudgetLease().getUnits(),
               e.getBudgetLease().getValidNanos());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/Compression.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Compression.java
@@ -16,23 +16,23 @@
   /** Four times the largest value of the object service; a frame must not expand without bound. */
   static final int MAX_TEXT_BYTES = 4_000_000;
 
-  private record Cached(String text, ByteString gzip) {}
+  private record CompressedText(String text, ByteString gzip) {}
 
   /** The manifest in force, because up to 16 neighbours fetch it at the same time. */
-  private static volatile Cached latest = new Cached("", compressNow(""));
+  private static volatile CompressedText lastCompressed = new CompressedText("", compressUncached(""));
 
   private Compression() {}
 
   static ByteString compress(String text) {
-    Cached cached = latest;
+    CompressedText cached = lastCompressed;
     if (!cached.text().equals(text)) {
-      cached = new Cached(text, compressNow(text));
-      latest = cached;
+      cached = new CompressedText(text, compressUncached(text));
+      lastCompressed = cached;
     }
     return cached.gzip();
   }
 
-  private static ByteString compressNow(String text) {
+  private static ByteString compressUncached(String text) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (OutputStream gzip = new GZIPOutputStream(bytes)) {
       gzip.write(text.getBytes(StandardCharsets.UTF_8));
--- a/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
+++ b/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
@@ -13,9 +13,9 @@
     super(
         TransportLimits.MAX_FRAME_BYTES,
         0,
-        TransportLimits.LENGTH_BYTES,
+        TransportLimits.LENGTH_PREFIX_BYTES,
         0,
-        TransportLimits.LENGTH_BYTES);
+        TransportLimits.LENGTH_PREFIX_BYTES);
     this.counters = counters;
   }
 
@@ -24,7 +24,7 @@
       throws Exception {
     super.decodeLast(context, in, out);
     if (out.isEmpty() && in.isReadable()) {
-      counters.refused(FrameRefusal.TRUNCATED);
+      counters.countRefusal(FrameRefusal.TRUNCATED);
       in.skipBytes(in.readableBytes());
     }
   }
--- a/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
@@ -18,16 +18,16 @@
           out.getCrashReportBuilder()
               .setUpstream(m.upstream().value())
               .setCrashId(m.crashId())
-              .addAllRunning(m.running().stream().map(EvidenceCodec::bytes).toList());
+              .addAllRunning(m.running().stream().map(EvidenceCodec::fingerprintToBytes).toList());
       case EvidenceMessage.RunRequest m ->
-          out.getRunRequestBuilder().setFingerprint(bytes(m.fingerprint())).setAttempt(m.attempt());
+          out.getRunRequestBuilder().setFingerprint(fingerprintToBytes(m.fingerprint())).setAttempt(m.attempt());
       case EvidenceMessage.RunPermission m ->
           out.getRunPermissionBuilder()
-              .setFingerprint(bytes(m.fingerprint()))
+              .setFingerprint(fingerprintToBytes(m.fingerprint()))
               .setAttempt(m.attempt())
               .setVerdict(verdict(m.verdict()));
       case EvidenceMessage.Cleared m ->
-          out.getClearedBuilder().setFingerprint(bytes(m.fingerprint()));
+          out.getClearedBuilder().setFingerprint(fingerprintToBytes(m.fingerprint()));
       case EvidenceMessage.LeavingNotice m ->
           out.getLeavingNoticeBuilder().setUpstream(m.upstream().value());
     }
@@ -40,26 +40,26 @@
         yield new EvidenceMessage.CrashReport(
             new UpstreamId(m.getUpstream()),
             m.getCrashId(),
-            m.getRunningList().stream().map(PeerCodec::fingerprint).toList());
+            m.getRunningList().stream().map(PeerCodec::fingerprintFromBytes).toList());
       }
       case RUN_REQUEST ->
           new EvidenceMessage.RunRequest(
-              PeerCodec.fingerprint(e.getRunRequest().getFingerprint()),
+              PeerCodec.fingerprintFromBytes(e.getRunRequest().getFingerprint()),
               e.getRunRequest().getAttempt());
       case RUN_PERMISSION ->
           new EvidenceMessage.RunPermission(
-              PeerCodec.fingerprint(e.getRunPermission().getFingerprint()),
+              PeerCodec.fingerprintFromBytes(e.getRunPermission().getFingerprint()),
               e.getRunPermission().getAttempt(),
               verdict(e.getRunPermission().getVerdict()));
       case CLEARED ->
-          new EvidenceMessage.Cleared(PeerCodec.fingerprint(e.getCleared().getFingerprint()));
+          new EvidenceMessage.Cleared(PeerCodec.fingerprintFromBytes(e.getCleared().getFingerprint()));
       case LEAVING_NOTICE ->
           new EvidenceMessage.LeavingNotice(new UpstreamId(e.getLeavingNotice().getUpstream()));
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 
-  private static ByteString bytes(Fingerprint fingerprint) {
+  private static ByteString fingerprintToBytes(Fingerprint fingerprint) {
     return PeerCodec.digestToBytes(fingerprint.value());
   }
 
@@ -76,7 +76,7 @@
       case VERDICT_RUN -> EvidenceMessage.Verdict.RUN;
       case VERDICT_WAIT -> EvidenceMessage.Verdict.WAIT;
       case VERDICT_QUARANTINED -> EvidenceMessage.Verdict.QUARANTINED;
-      case VERDICT_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.badEnum("verdict", verdict);
+      case VERDICT_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.invalidEnum("verdict", verdict);
     };
   }
 }
--- /dev/null
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceDeduplicator.java
@@ -0,0 +1,31 @@
+package org.mustardlatch.wire;
+
+import java.time.Duration;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.mustardlatch.core.peer.EvidenceMessage;
+
+/** Which evidence was passed on already, so that each node passes it on once. */
+final class EvidenceDeduplicator {
+  static final long RETENTION_NANOS = Duration.ofSeconds(60).toNanos();
+  static final int MAX_ENTRIES = 4_096;
+
+  private final Map<EvidenceMessage, Long> receivedAt = new LinkedHashMap<>();
+
+  /** Returns whether the message is new, and remembers it for 60 s. */
+  boolean addIfNew(EvidenceMessage message, long now) {
+    Iterator<Map.Entry<EvidenceMessage, Long>> oldest = receivedAt.entrySet().iterator();
+    while (oldest.hasNext()) {
+      if (now - oldest.next().getValue() < RETENTION_NANOS && receivedAt.size() < MAX_ENTRIES) {
+        break;
+      }
+      oldest.remove();
+    }
+    return receivedAt.putIfAbsent(message, now) == null;
+  }
+
+  int size() {
+    return receivedAt.size();
+  }
+}
--- a/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
@@ -70,7 +70,7 @@
             m.getStatus(),
             m.hasAnswer() ? m.getAnswer() : null);
       }
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/Link.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Link.java
@@ -7,17 +7,17 @@
 
 /** The way to one peer: at most one connection in use, and the messages that wait for it. */
 final class Link {
-  private record Waiting(PeerMessage message, long atNanos) {}
+  private record QueuedMessage(PeerMessage message, long queuedAtNanos) {}
 
   private final PeerTransport transport;
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
+  private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
   private final @Nullable HostId host;
   private @Nullable String address;
-  private @Nullable PeerChannel current;
+  private @Nullable PeerChannel currentChannel;
   private boolean connecting;
-  private int failures;
+  private int consecutiveFailures;
   private long retryAtNanos;
-  private int silences;
+  private int consecutiveSilences;
 
   Link(PeerTransport transport, @Nullable HostId host) {
     this.transport = transport;
@@ -35,10 +35,10 @@
   }
 
   synchronized boolean connected() {
-    return current != null;
+    return currentChannel != null;
   }
 
-  synchronized int queued() {
+  synchronized int queuedCount() {
     return queue.size();
   }
 
@@ -47,25 +47,25 @@
     if (newAddress != null) {
       address = newAddress;
     }
-    PeerChannel c = current;
+    PeerChannel c = currentChannel;
     if (c != null && queue.isEmpty() && c.isWritable()) {
       c.send(message);
       return;
     }
-    if (queue.size() == TransportLimits.QUEUE_LIMIT) {
+    if (queue.size() == TransportLimits.MAX_QUEUED_MESSAGES) {
       queue.removeFirst();
       transport.counters().queueDrops.increment();
     }
-    queue.addLast(new Waiting(message, System.nanoTime()));
-    advance();
+    queue.addLast(new QueuedMessage(message, System.nanoTime()));
+    flushOrConnect();
   }
 
   /** Sends what waits or opens a connection, whatever is possible now. */
-  synchronized void advance() {
-    expire();
-    PeerChannel c = current;
+  synchronized void flushOrConnect() {
+    dropExpired();
+    PeerChannel c = currentChannel;
     if (c == null) {
-      connectIfDue();
+      connectAfterBackoff();
       return;
     }
     while (!queue.isEmpty() && c.isWritable()) {
@@ -74,24 +74,24 @@
   }
 
   /** Opens a connection when messages wait for one and the backoff has passed. */
-  synchronized void retry() {
+  synchronized void retryQueued() {
     if (!queue.isEmpty()) {
-      advance();
+      flushOrConnect();
     }
   }
 
   /** Uses this connection from now on; the newest one wins. */
   synchronized void attach(PeerChannel channel) {
-    current = channel;
+    currentChannel = channel;
     connecting = false;
-    failures = 0;
-    advance();
+    consecutiveFailures = 0;
+    flushOrConnect();
   }
 
   /** A connection of this link was refused. */
-  synchronized void failed(PeerChannel channel) {
-    if (current == channel) {
-      current = null;
+  synchronized void connectionRefused(PeerChannel channel) {
+    if (currentChannel == channel) {
+      currentChannel = null;
     }
     connectFailed();
   }
@@ -101,46 +101,46 @@
     long backoff =
         Math.min(
             TransportLimits.MAX_BACKOFF_NANOS,
-            TransportLimits.MIN_BACKOFF_NANOS << Math.min(failures, 10));
-    failures++;
-    retryAtNanos = System.nanoTime() + transport.jitter(backoff);
+            TransportLimits.MIN_BACKOFF_NANOS << Math.min(consecutiveFailures, 10));
+    consecutiveFailures++;
+    retryAtNanos = System.nanoTime() + transport.jitteredBackoff(backoff);
   }
 
-  synchronized void closed(PeerChannel channel, boolean opened) {
-    if (current == channel) {
-      current = null;
-    } else if (opened && connecting && current == null) {
+  synchronized void connectionClosed(PeerChannel channel, boolean openedByLink) {
+    if (currentChannel == channel) {
+      currentChannel = null;
+    } else if (openedByLink && connecting && currentChannel == null) {
       connectFailed();
     }
     if (!queue.isEmpty()) {
-      advance();
+      flushOrConnect();
     }
   }
 
   /** The connection in use went silent; a fresh one is opened at once. */
-  synchronized void silent(PeerChannel channel) {
-    if (current == channel) {
-      current = null;
-      silences++;
+  synchronized void connectionSilent(PeerChannel channel) {
+    if (currentChannel == channel) {
+      currentChannel = null;
+      consecutiveSilences++;
       retryAtNanos = System.nanoTime();
-      connectIfDue();
+      connectAfterBackoff();
     }
   }
 
   /** A frame of the peer arrived. */
-  synchronized void heard() {
-    silences = 0;
+  synchronized void frameReceived() {
+    consecutiveSilences = 0;
   }
 
   /**
    * Returns how long a connection may be silent. Doubles with each connection that was replaced in
    * vain, because handshakes with a peer that is merely slow make it slower.
    */
-  synchronized long silentAfterNanos() {
-    return TransportLimits.SILENT_AFTER_NANOS << Math.min(silences, TransportLimits.MAX_DOUBLINGS);
+  synchronized long silenceTimeoutNanos() {
+    return TransportLimits.SILENCE_TIMEOUT_NANOS << Math.min(consecutiveSilences, TransportLimits.MAX_SILENCE_TIMEOUT_DOUBLINGS);
   }
 
-  private void connectIfDue() {
+  private void connectAfterBackoff() {
     String to = address;
     if (!connecting && to != null && System.nanoTime() - retryAtNanos >= 0) {
       connecting = true;
@@ -148,9 +148,9 @@
     }
   }
 
-  private void expire() {
-    long oldest = System.nanoTime() - TransportLimits.QUEUE_EXPIRY_NANOS;
-    while (!queue.isEmpty() && queue.getFirst().atNanos() - oldest < 0) {
+  private void dropExpired() {
+    long expiryNanos = System.nanoTime() - TransportLimits.QUEUE_EXPIRY_NANOS;
+    while (!queue.isEmpty() && queue.getFirst().queuedAtNanos() - expiryNanos < 0) {
       queue.removeFirst();
       transport.counters().queueExpired.increment();
     }
--- a/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
@@ -19,15 +19,15 @@
           out.getHeartbeatBuilder()
               .setSequence(m.sequence())
               .setConfigRevision(m.configRevision())
-              .addAllRumors(rumors(m.rumors()));
+              .addAllRumors(encodeRumors(m.rumors()));
       case MembershipMessage.HeartbeatAck m ->
           out.getHeartbeatAckBuilder()
               .setSequence(m.sequence())
               .setConfigRevision(m.configRevision())
-              .addAllRumors(rumors(m.rumors()));
+              .addAllRumors(encodeRumors(m.rumors()));
       case MembershipMessage.Join m -> out.getJoinBuilder().setSelf(rumor(m.self()));
       case MembershipMessage.View m ->
-          out.getViewBuilder().addAllRumors(rumors(m.rumors())).setReplyWanted(m.replyRequested());
+          out.getViewBuilder().addAllRumors(encodeRumors(m.rumors())).setReplyWanted(m.replyRequested());
       case MembershipMessage.Suspicion m ->
           out.getSuspicionBuilder()
               .setHost(m.host().value())
@@ -59,11 +59,11 @@
             new HostId(m.getHost()), m.getIncarnation(), m.getCounter());
       }
       case SYNC -> new MembershipMessage.Sync(e.getSync().getDigest());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 
-  private static List<PeerProto.Rumor> rumors(List<MembershipMessage.Rumor> rumors) {
+  private static List<PeerProto.Rumor> encodeRumors(List<MembershipMessage.Rumor> rumors) {
     return rumors.stream().map(MembershipCodec::rumor).toList();
   }
 
@@ -109,7 +109,7 @@
       case NODE_SUSPECT -> MembershipMessage.State.SUSPECT;
       case NODE_DEAD -> MembershipMessage.State.DEAD;
       case NODE_LEFT -> MembershipMessage.State.LEFT;
-      case NODE_STATE_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.badEnum("state", state);
+      case NODE_STATE_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.invalidEnum("state", state);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
+++ b/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
@@ -23,14 +23,14 @@
   private final RegionId region;
   private final BudgetOwner owner;
   private final BudgetClient client = new BudgetClient();
-  private final BiConsumer<HostId, BudgetMessage> send;
-  private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
-  private long tickets;
+  private final BiConsumer<HostId, BudgetMessage> sender;
+  private final Map<Long, Consumer<Boolean>> pendingResults = new HashMap<>();
+  private long lastTicket;
 
   NodeBudgets(HostId self, RegionId region, BiConsumer<HostId, BudgetMessage> send) {
     this.region = region;
     this.owner = new BudgetOwner(self);
-    this.send = send;
+    this.sender = send;
   }
 
   void configure(Map<String, BudgetTerms> terms) {
@@ -45,14 +45,14 @@
   }
 
   void spend(String budget, double units, long now, Consumer<Boolean> result) {
-    long ticket = ++tickets;
-    waiting.put(ticket, result);
+    long ticket = ++lastTicket;
+    pendingResults.put(ticket, result);
     client.spend(ticket, budget, units, now, this::execute);
   }
 
   void received(HostId from, BudgetMessage message, long now) {
     switch (message) {
-      case BudgetLeaseRequest m -> send.accept(from, owner.handleRequest(from, m, now));
+      case BudgetLeaseRequest m -> sender.accept(from, owner.handleRequest(from, m, now));
       case BudgetLease m -> client.leaseReceived(m, now, this::execute);
     }
   }
@@ -73,14 +73,14 @@
 
   private void execute(BudgetCommand command) {
     switch (command) {
-      case BudgetCommand.Send c -> send.accept(c.to(), c.message());
-      case BudgetCommand.Granted c -> finish(c.ticket(), true);
-      case BudgetCommand.Refused c -> finish(c.ticket(), false);
+      case BudgetCommand.Send c -> sender.accept(c.to(), c.message());
+      case BudgetCommand.Granted c -> complete(c.ticket(), true);
+      case BudgetCommand.Refused c -> complete(c.ticket(), false);
     }
   }
 
-  private void finish(long ticket, boolean granted) {
-    Consumer<Boolean> result = waiting.remove(ticket);
+  private void complete(long ticket, boolean granted) {
+    Consumer<Boolean> result = pendingResults.remove(ticket);
     if (result != null) {
       result.accept(granted);
     }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
@@ -30,14 +30,14 @@
   private volatile @Nullable HostId host;
   private @Nullable Set<String> certificateNames;
   private boolean refused;
-  private long sent;
-  private long received;
+  private long lastSentSequence;
+  private long lastReceivedSequence;
   private long openedNanos;
   private long lastReadNanos;
   private long lastMessageNanos;
-  private long unansweredSinceNanos;
-  private boolean unanswered;
-  private boolean pinged;
+  private long awaitingFrameSinceNanos;
+  private boolean awaitingFrame;
+  private boolean pingSent;
 
   /**
    * @param opener the link that opened the connection; null for an accepted one
@@ -75,12 +75,12 @@
     PeerCodec.encode(message, b);
     long now = System.nanoTime();
     lastMessageNanos = now;
-    markUnanswered(now);
+    startAwaitingFrame(now);
     write(c, b);
   }
 
   /** Runs a task on the event loop of the connection. */
-  void onLoop(Runnable task) {
+  void runOnEventLoop(Runnable task) {
     Channel c = channel;
     if (c != null) {
       c.eventLoop().execute(task);
@@ -103,7 +103,7 @@
     channel = context.channel();
     transport.channelOpened(this);
     if (context.pipeline().get(SslHandler.class) == null) {
-      ready();
+      connectionReady();
     }
     context.fireChannelActive();
   }
@@ -114,7 +114,7 @@
       if (handshake.isSuccess()) {
         SslHandler ssl = context.pipeline().get(SslHandler.class);
         certificateNames = CertificateNames.of(ssl.engine().getSession());
-        ready();
+        connectionReady();
       } else if (handshake.cause() instanceof SSLException
           && !(handshake.cause() instanceof SslHandshakeTimeoutException)) {
         refuse(FrameRefusal.STRANGER);
@@ -124,12 +124,12 @@
   }
 
   /** The connection can carry frames. */
-  private void ready() {
+  private void connectionReady() {
     if (opener == null) {
       return;
     }
     HostId expected = opener.host();
-    if (expected != null && !named(expected)) {
+    if (expected != null && !certificateAllows(expected)) {
       refuse(FrameRefusal.HOST_MISMATCH);
       return;
     }
@@ -137,7 +137,7 @@
     opener.attach(this);
   }
 
-  private boolean named(HostId claimed) {
+  private boolean certificateAllows(HostId claimed) {
     Set<String> names = certificateNames;
     return names == null || names.contains(claimed.value());
   }
@@ -148,19 +148,19 @@
       return;
     }
     long now = System.nanoTime();
-    HostId from = check(envelope);
+    HostId from = validatedSender(envelope);
     if (from == null) {
       return;
     }
     transport.counters().framesReceived.increment();
     lastReadNanos = now;
-    unanswered = false;
-    pinged = false;
+    awaitingFrame = false;
+    pingSent = false;
     if (host == null) {
       host = from;
-      transport.identified(this, from);
+      transport.peerIdentified(this, from);
     }
-    transport.heard(this);
+    transport.frameReceived(this);
     switch (envelope.getBodyCase()) {
       case PING ->
           write(context.channel(), Envelope.newBuilder().setPong(Pong.getDefaultInstance()));
@@ -182,12 +182,12 @@
   }
 
   /** Returns the sender, or null when the frame was refused. */
-  private @Nullable HostId check(Envelope envelope) {
-    if (envelope.getSequence() != received + 1) {
+  private @Nullable HostId validatedSender(Envelope envelope) {
+    if (envelope.getSequence() != lastReceivedSequence + 1) {
       refuse(FrameRefusal.REPLAYED);
       return null;
     }
-    received++;
+    lastReceivedSequence++;
     HostId claimed;
     try {
       claimed = new HostId(envelope.getHost());
@@ -195,8 +195,8 @@
       refuse(FrameRefusal.MALFORMED);
       return null;
     }
-    HostId known = host;
-    if (!named(claimed) || (known != null && !known.equals(claimed))) {
+    HostId identified = host;
+    if (!certificateAllows(claimed) || (identified != null && !identified.equals(claimed))) {
       refuse(FrameRefusal.HOST_MISMATCH);
       return null;
     }
@@ -212,9 +212,9 @@
       return;
     }
     refused = true;
-    transport.counters().refused(reason);
+    transport.counters().countRefusal(reason);
     if (opener != null) {
-      opener.failed(this);
+      opener.connectionRefused(this);
     }
     close();
   }
@@ -228,14 +228,14 @@
     } else if (cause instanceof DecoderException) {
       refuse(FrameRefusal.MALFORMED);
     } else if (!(cause instanceof IOException)) {
-      transport.unexpected(cause);
+      transport.reportUnexpectedError(cause);
     }
     close(context.channel());
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    transport.writable(this);
+    transport.channelWritable(this);
     context.fireChannelWritabilityChanged();
   }
 
@@ -246,44 +246,44 @@
   }
 
   /** Sends pings and closes silent, unused and unidentified connections. Runs on the event loop. */
-  void watch(long now, boolean late) {
+  void checkLiveness(long now, boolean delayed) {
     Channel c = channel;
     if (c == null || !c.isActive()) {
       return;
     }
-    if (late && unanswered) {
-      unansweredSinceNanos = now;
+    if (delayed && awaitingFrame) {
+      awaitingFrameSinceNanos = now;
     }
     if (host == null) {
-      if (now - openedNanos > TransportLimits.IDENTIFY_NANOS) {
+      if (now - openedNanos > TransportLimits.IDENTIFICATION_TIMEOUT_NANOS) {
         refuse(FrameRefusal.UNIDENTIFIED);
       }
       return;
     }
-    if (unanswered && now - unansweredSinceNanos > transport.silentAfterNanos(this)) {
+    if (awaitingFrame && now - awaitingFrameSinceNanos > transport.silenceTimeoutNanos(this)) {
       transport.counters().silentClosed.increment();
-      transport.silent(this);
+      transport.connectionSilent(this);
       close(c);
-    } else if (now - lastMessageNanos > TransportLimits.UNUSED_AFTER_NANOS) {
+    } else if (now - lastMessageNanos > TransportLimits.UNUSED_TIMEOUT_NANOS) {
       transport.counters().unusedClosed.increment();
       close(c);
-    } else if (!pinged && needsPing(now)) {
-      pinged = true;
-      markUnanswered(now);
+    } else if (!pingSent && needsPing(now)) {
+      pingSent = true;
+      startAwaitingFrame(now);
       write(c, Envelope.newBuilder().setPing(Ping.getDefaultInstance()));
     }
   }
 
   private boolean needsPing(long now) {
-    return unanswered
-        ? now - unansweredSinceNanos > TransportLimits.PING_AFTER_NANOS
-        : now - lastReadNanos > TransportLimits.IDLE_PING_NANOS;
+    return awaitingFrame
+        ? now - awaitingFrameSinceNanos > TransportLimits.PING_DELAY_NANOS
+        : now - lastReadNanos > TransportLimits.IDLE_PING_INTERVAL_NANOS;
   }
 
-  private void markUnanswered(long now) {
-    if (!unanswered) {
-      unanswered = true;
-      unansweredSinceNanos = now;
+  private void startAwaitingFrame(long now) {
+    if (!awaitingFrame) {
+      awaitingFrame = true;
+      awaitingFrameSinceNanos = now;
     }
   }
 
@@ -299,7 +299,7 @@
     envelope
         .setHost(transport.host().value())
         .setIncarnation(transport.incarnation())
-        .setSequence(++sent);
+        .setSequence(++lastSentSequence);
     transport.counters().framesSent.increment();
     c.writeAndFlush(envelope.build(), c.voidPromise());
   }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerCodec.java
@@ -66,15 +66,15 @@
     return HexFormat.of().formatHex(bytes.toByteArray());
   }
 
-  static Fingerprint fingerprint(ByteString bytes) {
+  static Fingerprint fingerprintFromBytes(ByteString bytes) {
     return new Fingerprint(digestFromBytes(bytes));
   }
 
-  static IllegalArgumentException unexpected(Envelope envelope) {
+  static IllegalArgumentException unexpectedBody(Envelope envelope) {
     return new IllegalArgumentException("unexpected message " + envelope.getBodyCase());
   }
 
-  static IllegalArgumentException badEnum(String field, Enum<?> value) {
+  static IllegalArgumentException invalidEnum(String field, Enum<?> value) {
     return new IllegalArgumentException("invalid " + field + " " + value);
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
@@ -13,5 +13,5 @@
    * @param incarnation incarnation of the sender when it sent the message
    * @param message the message
    */
-  void received(HostId from, long incarnation, PeerMessage message);
+  void messageReceived(HostId from, long incarnation, PeerMessage message);
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -48,17 +48,17 @@
   private final PeerNodeListener listener;
   private final PeerTransport transport;
   private final Subject<Runnable> tasks = PublishSubject.<Runnable>create().toSerialized();
-  private final EvidenceFlood flood = new EvidenceFlood();
+  private final EvidenceDeduplicator evidenceDeduplicator = new EvidenceDeduplicator();
   private final Rollout rollout;
   private final NodeBudgets budgets;
   private @Nullable Membership membership;
-  private @Nullable TimerSubscription ticks;
-  private @Nullable TimerSubscription budgetTicks;
-  private @Nullable Disposable running;
+  private @Nullable TimerSubscription tickSubscription;
+  private @Nullable TimerSubscription budgetTickSubscription;
+  private @Nullable Disposable taskSubscription;
   private volatile long incarnation;
   private volatile MemberList members = new MemberList(List.of(), Set.of());
-  private volatile long revision;
-  private volatile boolean ready;
+  private volatile long activeRevision;
+  private volatile boolean configurationReady;
 
   /** Creates a node; it does nothing before {@link #start}. */
   public PeerNode(
@@ -72,7 +72,7 @@
     this.listener = listener;
     this.incarnation = options.incarnation();
     this.rollout = new Rollout(options.host());
-    this.budgets = new NodeBudgets(options.host(), options.region(), this::sendBudget);
+    this.budgets = new NodeBudgets(options.host(), options.region(), this::sendBudgetMessage);
     this.transport =
         new PeerTransport(
             new PeerTransportOptions(
@@ -83,7 +83,7 @@
                 options.group(),
                 options.privateNetwork()),
             this::receive,
-            listener::unexpected);
+            listener::unexpectedError);
   }
 
   /**
@@ -92,15 +92,15 @@
    * @return the address in use
    */
   public InetSocketAddress start() {
-    running = tasks.subscribe(this::runTask, listener::unexpected);
+    taskSubscription = tasks.subscribe(this::runTask, listener::unexpectedError);
     InetSocketAddress bound = transport.start();
     String address =
         options.advertised() != null
             ? options.advertised()
             : bound.getAddress().getHostAddress() + ":" + bound.getPort();
     tasks.onNext(() -> join(address));
-    ticks = timers.every(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
-    budgetTicks =
+    tickSubscription = timers.every(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
+    budgetTickSubscription =
         timers.every(
             BudgetClient.TICK_PERIOD, () -> tasks.onNext(() -> budgets.tick(timers.nanos())));
     return bound;
@@ -108,20 +108,20 @@
 
   /** Tells the neighbours that this node is about to stop. */
   public void leave() {
-    tasks.onNext(() -> toMembership(new MembershipEvent.LeaveRequested()));
+    tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.LeaveRequested()));
   }
 
   /** Stops without telling anybody; see {@link #leave}. */
   public void stop() {
-    if (ticks != null) {
-      ticks.cancel();
+    if (tickSubscription != null) {
+      tickSubscription.cancel();
     }
-    if (budgetTicks != null) {
-      budgetTicks.cancel();
+    if (budgetTickSubscription != null) {
+      budgetTickSubscription.cancel();
     }
     transport.stop();
-    if (running != null) {
-      running.dispose();
+    if (taskSubscription != null) {
+      taskSubscription.dispose();
     }
   }
 
@@ -131,23 +131,23 @@
   }
 
   /** Spreads evidence to all nodes along the overlay; this node's listener does not receive it. */
-  public void spread(EvidenceMessage message) {
-    tasks.onNext(() -> passOn(options.host(), message));
+  public void broadcast(EvidenceMessage message) {
+    tasks.onNext(() -> forwardIfNew(options.host(), message));
   }
 
   /** The object service lists these peer addresses. */
   public void nodesListed(List<String> addresses) {
-    tasks.onNext(() -> toMembership(new MembershipEvent.NodesListed(addresses)));
+    tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.NodesListed(addresses)));
   }
 
   /** The object service holds this revision; 0 with empty text when it holds none. */
-  public void stored(long storedRevision, String text) {
-    tasks.onNext(() -> toRollout(new RolloutEvent.StoreRead(storedRevision, text)));
+  public void manifestStored(long storedRevision, String text) {
+    tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.StoreRead(storedRevision, text)));
   }
 
   /** This node stored a revision for an operator. */
-  public void published(long publishedRevision, String text) {
-    tasks.onNext(() -> toRollout(new RolloutEvent.Published(publishedRevision, text)));
+  public void manifestPublished(long publishedRevision, String text) {
+    tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.Published(publishedRevision, text)));
   }
 
   /**
@@ -180,13 +180,13 @@
   }
 
   /** Returns the manifest revision in force; 0 for none. */
-  public long revision() {
-    return revision;
+  public long activeRevision() {
+    return activeRevision;
   }
 
   /** Returns whether the manifest in force is recent enough to serve requests. */
-  public boolean ready() {
-    return ready;
+  public boolean configurationReady() {
+    return configurationReady;
   }
 
   /** Returns the counters of the transport. */
@@ -195,8 +195,8 @@
   }
 
   /** Returns the number of open connections. */
-  public int connections() {
-    return transport.connections();
+  public int connectionCount() {
+    return transport.connectionCount();
   }
 
   /** Returns the state for a dump. Must not be called by the listener. */
@@ -219,7 +219,7 @@
     all.put("membership", m == null ? Map.of() : m.dump());
     all.put("rollout", rollout.dump());
     all.put("budgets", budgets.dump(timers.nanos()));
-    all.put("evidence_remembered", flood.size());
+    all.put("evidence_remembered", evidenceDeduplicator.size());
     all.put("transport", transport.dump());
     return all;
   }
@@ -228,7 +228,7 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      listener.unexpected(e);
+      listener.unexpectedError(e);
     }
   }
 
@@ -241,8 +241,8 @@
   }
 
   private void tick() {
-    toMembership(new MembershipEvent.Tick());
-    toRollout(new RolloutEvent.Tick());
+    handleMembershipEvent(new MembershipEvent.Tick());
+    handleRolloutEvent(new RolloutEvent.Tick());
   }
 
   private void receive(HostId from, long senderIncarnation, PeerMessage message) {
@@ -251,49 +251,49 @@
 
   private void dispatch(HostId from, long senderIncarnation, PeerMessage message) {
     if (message instanceof MembershipMessage m) {
-      toMembership(new MembershipEvent.MessageReceived(from, senderIncarnation, m));
-      noteRevision(from, m);
+      handleMembershipEvent(new MembershipEvent.MessageReceived(from, senderIncarnation, m));
+      reportPeerRevision(from, m);
       return;
     }
-    toMembership(new MembershipEvent.FrameReceived(from, senderIncarnation));
+    handleMembershipEvent(new MembershipEvent.FrameReceived(from, senderIncarnation));
     switch (message) {
-      case RolloutMessage m -> toRollout(new RolloutEvent.MessageReceived(from, m));
+      case RolloutMessage m -> handleRolloutEvent(new RolloutEvent.MessageReceived(from, m));
       case BudgetMessage m -> budgets.received(from, m, timers.nanos());
-      case EvidenceMessage m -> evidence(from, senderIncarnation, m);
-      default -> listener.received(from, senderIncarnation, message);
+      case EvidenceMessage m -> handleEvidence(from, senderIncarnation, m);
+      default -> listener.messageReceived(from, senderIncarnation, message);
     }
   }
 
-  private void noteRevision(HostId from, MembershipMessage message) {
+  private void reportPeerRevision(HostId from, MembershipMessage message) {
     switch (message) {
       case MembershipMessage.Heartbeat m ->
-          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       case MembershipMessage.HeartbeatAck m ->
-          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       default -> {}
     }
   }
 
-  private void evidence(HostId from, long senderIncarnation, EvidenceMessage message) {
+  private void handleEvidence(HostId from, long senderIncarnation, EvidenceMessage message) {
     switch (message) {
-      case EvidenceMessage.RunRequest m -> listener.received(from, senderIncarnation, m);
-      case EvidenceMessage.RunPermission m -> listener.received(from, senderIncarnation, m);
-      case EvidenceMessage.CrashReport m -> passOnAndDeliver(from, senderIncarnation, m);
-      case EvidenceMessage.Cleared m -> passOnAndDeliver(from, senderIncarnation, m);
-      case EvidenceMessage.LeavingNotice m -> passOnAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.RunRequest m -> listener.messageReceived(from, senderIncarnation, m);
+      case EvidenceMessage.RunPermission m -> listener.messageReceived(from, senderIncarnation, m);
+      case EvidenceMessage.CrashReport m -> forwardAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.Cleared m -> forwardAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.LeavingNotice m -> forwardAndDeliver(from, senderIncarnation, m);
     }
   }
 
-  private void passOnAndDeliver(HostId from, long senderIncarnation, EvidenceMessage message) {
-    if (passOn(from, message)) {
-      listener.received(from, senderIncarnation, message);
+  private void forwardAndDeliver(HostId from, long senderIncarnation, EvidenceMessage message) {
+    if (forwardIfNew(from, message)) {
+      listener.messageReceived(from, senderIncarnation, message);
     }
   }
 
   /** Sends new evidence to all neighbours but its sender; returns whether it is new. */
-  private boolean passOn(HostId from, EvidenceMessage message) {
+  private boolean forwardIfNew(HostId from, EvidenceMessage message) {
     Membership m = membership;
-    if (m == null || !flood.isNew(message, timers.nanos())) {
+    if (m == null || !evidenceDeduplicator.addIfNew(message, timers.nanos())) {
       return false;
     }
     for (HostId h : m.neighbours()) {
@@ -306,26 +306,26 @@
 
   private void sendNow(HostId to, PeerMessage message) {
     if (to.equals(options.host())) {
-      dispatchOwn(to, message);
+      deliverToSelf(to, message);
       return;
     }
     Membership m = membership;
     transport.send(to, m == null ? null : m.address(to), message);
   }
 
-  private void dispatchOwn(HostId self, PeerMessage message) {
+  private void deliverToSelf(HostId self, PeerMessage message) {
     if (message instanceof BudgetMessage m) {
       budgets.received(self, m, timers.nanos());
     } else {
-      listener.received(self, incarnation, message);
+      listener.messageReceived(self, incarnation, message);
     }
   }
 
-  private void sendBudget(HostId to, BudgetMessage message) {
+  private void sendBudgetMessage(HostId to, BudgetMessage message) {
     sendNow(to, message);
   }
 
-  private void toMembership(MembershipEvent event) {
+  private void handleMembershipEvent(MembershipEvent event) {
     Membership m = membership;
     if (m != null) {
       m.handle(event, timers.nanos(), c -> execute(m, c));
@@ -337,8 +337,8 @@
       case MembershipCommand.Send c -> transport.send(c.to(), c.address(), c.message());
       case MembershipCommand.SendToAddress c -> transport.sendToAddress(c.address(), c.message());
       case MembershipCommand.MembersChanged c -> membersChanged(m, c.list());
-      case MembershipCommand.NodeRemoved c -> transport.forget(c.host());
-      case MembershipCommand.Suspected c -> listener.suspected(c.host());
+      case MembershipCommand.NodeRemoved c -> transport.removeHost(c.host());
+      case MembershipCommand.Suspected c -> listener.nodeSuspected(c.host());
       case MembershipCommand.Fenced c -> {
         incarnation = c.incarnation();
         listener.fenced(c.incarnation(), c.pausedNanos());
@@ -349,38 +349,38 @@
   private void membersChanged(Membership m, MemberList list) {
     members = list;
     budgets.membersChanged(list);
-    toRollout(new RolloutEvent.MembersChanged(list, m.neighbours()));
+    handleRolloutEvent(new RolloutEvent.MembersChanged(list, m.neighbours()));
     listener.membersChanged(list);
   }
 
-  private void toRollout(RolloutEvent event) {
+  private void handleRolloutEvent(RolloutEvent event) {
     rollout.handle(event, timers.nanos(), this::execute);
   }
 
   private void execute(RolloutCommand command) {
     switch (command) {
       case RolloutCommand.Send c -> sendNow(c.to(), c.message());
-      case RolloutCommand.Apply c -> apply(c.revision(), c.text());
-      case RolloutCommand.Accepted c -> listener.accepted(c.revision());
-      case RolloutCommand.WatchChanged c -> listener.watchChanged(c.watch());
+      case RolloutCommand.Apply c -> applyManifest(c.revision(), c.text());
+      case RolloutCommand.Accepted c -> listener.manifestAccepted(c.revision());
+      case RolloutCommand.WatchChanged c -> listener.manifestWatchChanged(c.watch());
       case RolloutCommand.Ready c -> {
-        ready = true;
-        listener.ready(c.revision());
+        configurationReady = true;
+        listener.configurationReady(c.revision());
       }
     }
   }
 
-  private void apply(long newRevision, String text) {
+  private void applyManifest(long newRevision, String text) {
     // The result is a task of its own, because the rollout is in the middle of an event.
-    if (listener.apply(newRevision, text)) {
-      revision = newRevision;
+    if (listener.applyManifest(newRevision, text)) {
+      activeRevision = newRevision;
       tasks.onNext(
           () -> {
-            toRollout(new RolloutEvent.Applied(newRevision));
-            toMembership(new MembershipEvent.ActiveRevisionChanged(newRevision));
+            handleRolloutEvent(new RolloutEvent.Applied(newRevision));
+            handleMembershipEvent(new MembershipEvent.ActiveRevisionChanged(newRevision));
           });
     } else {
-      tasks.onNext(() -> toRollout(new RolloutEvent.Rejected(newRevision)));
+      tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.Rejected(newRevision)));
     }
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNodeListener.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNodeListener.java
@@ -13,7 +13,7 @@
   void membersChanged(MemberList list);
 
   /** A node is suspected to be dead. */
-  void suspected(HostId host);
+  void nodeSuspected(HostId host);
 
   /**
    * This node may have been declared dead; attempts of earlier incarnations are void.
@@ -24,20 +24,20 @@
   void fenced(long incarnation, long pausedNanos);
 
   /** Puts a manifest revision into force; returns false when it can't be used. */
-  boolean apply(long revision, String text);
+  boolean applyManifest(long revision, String text);
 
   /** A revision that this node published is in force on enough nodes. */
-  void accepted(long revision);
+  void manifestAccepted(long revision);
 
   /** Whether this node must hold a watch on the manifest in the object service changed. */
-  void watchChanged(boolean watch);
+  void manifestWatchChanged(boolean watch);
 
   /** The node has a manifest that is recent enough to serve requests. */
-  void ready(long revision);
+  void configurationReady(long revision);
 
   /** An admission, evidence or ledger message arrived. */
-  void received(HostId from, long incarnation, PeerMessage message);
+  void messageReceived(HostId from, long incarnation, PeerMessage message);
 
   /** A fault in the program. */
-  void unexpected(Throwable error);
+  void unexpectedError(Throwable error);
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
@@ -42,34 +42,34 @@
 public final class PeerTransport {
   private final PeerTransportOptions options;
   private final PeerListener listener;
-  private final Consumer<Throwable> unexpected;
+  private final Consumer<Throwable> errorHandler;
   private final TransportCounters counters = new TransportCounters();
-  private final TrafficCounter traffic = new TrafficCounter(counters);
-  private final Map<HostId, Link> byHost = new ConcurrentHashMap<>();
-  private final Map<String, Link> byAddress = new ConcurrentHashMap<>();
+  private final SocketByteCounter socketByteCounter = new SocketByteCounter(counters);
+  private final Map<HostId, Link> linksByHost = new ConcurrentHashMap<>();
+  private final Map<String, Link> linksByAddress = new ConcurrentHashMap<>();
   private final Set<PeerChannel> channels = ConcurrentHashMap.newKeySet();
   private final AtomicInteger acceptedChannels = new AtomicInteger();
-  private final @Nullable TlsContexts tls;
+  private final @Nullable TlsContexts tlsContexts;
   private @Nullable EventLoopGroup ownGroup;
   private volatile @Nullable EventLoopGroup group;
-  private @Nullable Future<?> watch;
+  private @Nullable Future<?> connectionCheck;
   private @Nullable Channel server;
-  private long lastWatchNanos;
+  private long lastCheckNanos;
   private volatile boolean stopped;
 
   /**
    * Creates a transport; it does nothing before {@link #start}.
    *
    * @param listener receives messages
-   * @param unexpected receives errors that point to a fault in the program
+   * @param errorHandler receives errors that point to a fault in the program
    * @throws MustardlatchException with code {@code SETTINGS_INVALID} when TLS files are not usable
    */
   public PeerTransport(
-      PeerTransportOptions options, PeerListener listener, Consumer<Throwable> unexpected) {
+      PeerTransportOptions options, PeerListener listener, Consumer<Throwable> errorHandler) {
     this.options = options;
     this.listener = listener;
-    this.unexpected = unexpected;
-    this.tls = options.tls() == null ? null : TlsContexts.load(options.tls());
+    this.errorHandler = errorHandler;
+    this.tlsContexts = options.tls() == null ? null : TlsContexts.load(options.tls());
   }
 
   /**
@@ -101,17 +101,17 @@
           ErrorCode.SETTINGS_INVALID, "can't listen for peers on " + options.bind(), bound.cause());
     }
     server = bound.channel();
-    lastWatchNanos = System.nanoTime();
-    long period = TransportLimits.WATCH_PERIOD.toMillis();
-    watch = g.next().scheduleWithFixedDelay(this::watch, period, period, TimeUnit.MILLISECONDS);
+    lastCheckNanos = System.nanoTime();
+    long period = TransportLimits.CHECK_PERIOD.toMillis();
+    connectionCheck = g.next().scheduleWithFixedDelay(this::checkConnections, period, period, TimeUnit.MILLISECONDS);
     return (InetSocketAddress) bound.channel().localAddress();
   }
 
   /** Closes all connections. Messages that wait are lost. */
   public void stop() {
     stopped = true;
-    if (watch != null) {
-      watch.cancel(false);
+    if (connectionCheck != null) {
+      connectionCheck.cancel(false);
     }
     if (server != null) {
       server.close().awaitUninterruptibly(1, TimeUnit.SECONDS);
@@ -129,20 +129,20 @@
    */
   public void send(HostId to, @Nullable String address, PeerMessage message) {
     if (!stopped && !to.equals(options.host())) {
-      byHost.computeIfAbsent(to, h -> new Link(this, h)).send(address, message);
+      linksByHost.computeIfAbsent(to, h -> new Link(this, h)).send(address, message);
     }
   }
 
   /** Sends a message to whichever host listens on an address, for example that of a seed. */
   public void sendToAddress(String address, PeerMessage message) {
     if (!stopped) {
-      byAddress.computeIfAbsent(address, a -> new Link(this, null)).send(address, message);
+      linksByAddress.computeIfAbsent(address, a -> new Link(this, null)).send(address, message);
     }
   }
 
   /** Closes the connection to a host that is gone and drops what waits for it. */
-  public void forget(HostId host) {
-    byHost.remove(host);
+  public void removeHost(HostId host) {
+    linksByHost.remove(host);
     for (PeerChannel c : channels) {
       if (host.equals(c.host())) {
         c.close();
@@ -156,23 +156,23 @@
   }
 
   /** Returns the number of open connections, opened and accepted ones. */
-  public int connections() {
+  public int connectionCount() {
     return channels.size();
   }
 
   /** Returns the state for a dump: connections and queues by peer. */
   public Map<String, Object> dump() {
     Map<String, Object> links = new LinkedHashMap<>();
-    byHost.forEach(
+    linksByHost.forEach(
         (host, link) ->
             links.put(
                 host.value(),
                 Map.of(
                     "address", String.valueOf(link.address()),
                     "connected", link.connected(),
-                    "queued", link.queued())));
+                    "queued", link.queuedCount())));
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("tls", tls != null);
+    all.put("tls", tlsContexts != null);
     all.put("connections", channels.size());
     all.put("links", links);
     all.put("counters", counters.snapshot());
@@ -188,15 +188,15 @@
   }
 
   void deliver(HostId from, long incarnation, PeerMessage message) {
-    listener.received(from, incarnation, message);
+    listener.messageReceived(from, incarnation, message);
   }
 
-  void unexpected(Throwable error) {
-    unexpected.accept(error);
+  void reportUnexpectedError(Throwable error) {
+    errorHandler.accept(error);
   }
 
   /** Returns a time between a half and the whole of the backoff. */
-  long jitter(long backoffNanos) {
+  long jitteredBackoff(long backoffNanos) {
     return backoffNanos / 2 + ThreadLocalRandom.current().nextLong(backoffNanos / 2 + 1);
   }
 
@@ -229,15 +229,15 @@
       return;
     }
     counters.connectionsAccepted.increment();
-    if (acceptedChannels.incrementAndGet() > TransportLimits.MAX_ACCEPTED) {
-      counters.refused(FrameRefusal.TOO_MANY_CONNECTIONS);
+    if (acceptedChannels.incrementAndGet() > TransportLimits.MAX_ACCEPTED_CONNECTIONS) {
+      counters.countRefusal(FrameRefusal.TOO_MANY_CONNECTIONS);
       channel.close();
     }
   }
 
   /** The first frame of a connection named its sender. */
-  void identified(PeerChannel channel, HostId from) {
-    byHost.computeIfAbsent(from, h -> new Link(this, h)).attach(channel);
+  void peerIdentified(PeerChannel channel, HostId from) {
+    linksByHost.computeIfAbsent(from, h -> new Link(this, h)).attach(channel);
   }
 
   void channelClosed(PeerChannel channel, @Nullable Link opener) {
@@ -248,54 +248,54 @@
       return;
     }
     if (opener != null) {
-      opener.closed(channel, true);
+      opener.connectionClosed(channel, true);
     }
     Link link = linkOf(channel);
     if (link != null && link != opener) {
-      link.closed(channel, false);
+      link.connectionClosed(channel, false);
     }
   }
 
-  void silent(PeerChannel channel) {
+  void connectionSilent(PeerChannel channel) {
     Link link = linkOf(channel);
     if (link != null) {
-      link.silent(channel);
+      link.connectionSilent(channel);
     }
   }
 
-  void heard(PeerChannel channel) {
+  void frameReceived(PeerChannel channel) {
     Link link = linkOf(channel);
     if (link != null) {
-      link.heard();
+      link.frameReceived();
     }
   }
 
-  long silentAfterNanos(PeerChannel channel) {
+  long silenceTimeoutNanos(PeerChannel channel) {
     Link link = linkOf(channel);
-    return link == null ? TransportLimits.SILENT_AFTER_NANOS : link.silentAfterNanos();
+    return link == null ? TransportLimits.SILENCE_TIMEOUT_NANOS : link.silenceTimeoutNanos();
   }
 
-  void writable(PeerChannel channel) {
+  void channelWritable(PeerChannel channel) {
     Link link = linkOf(channel);
     if (link != null) {
-      link.advance();
+      link.flushOrConnect();
     }
   }
 
   private @Nullable Link linkOf(PeerChannel channel) {
     HostId host = channel.host();
-    return host == null ? null : byHost.get(host);
+    return host == null ? null : linksByHost.get(host);
   }
 
-  private void watch() {
+  private void checkConnections() {
     long now = System.nanoTime();
-    boolean late = now - lastWatchNanos > TransportLimits.WATCH_LATE_NANOS;
-    lastWatchNanos = now;
+    boolean delayed = now - lastCheckNanos > TransportLimits.DELAYED_CHECK_NANOS;
+    lastCheckNanos = now;
     for (PeerChannel c : new ArrayList<>(channels)) {
-      c.onLoop(() -> c.watch(now, late));
+      c.runOnEventLoop(() -> c.checkLiveness(now, delayed));
     }
-    byHost.values().forEach(Link::retry);
-    byAddress.values().forEach(Link::retry);
+    linksByHost.values().forEach(Link::retryQueued);
+    linksByAddress.values().forEach(Link::retryQueued);
   }
 
   private ChannelInitializer<Channel> initializer(
@@ -304,18 +304,18 @@
       @Override
       protected void initChannel(Channel channel) {
         ChannelPipeline p = channel.pipeline();
-        p.addLast(traffic);
-        if (tls != null) {
+        p.addLast(socketByteCounter);
+        if (tlsContexts != null) {
           SslHandler ssl =
               target == null
-                  ? tls.server().newHandler(channel.alloc())
-                  : tls.client().newHandler(channel.alloc(), target.getHost(), target.getPort());
+                  ? tlsContexts.server().newHandler(channel.alloc())
+                  : tlsContexts.client().newHandler(channel.alloc(), target.getHost(), target.getPort());
           ssl.setHandshakeTimeoutMillis(TransportLimits.HANDSHAKE_TIMEOUT_MILLIS);
           p.addLast(ssl);
         }
         p.addLast(new CountingFrameDecoder(counters));
         p.addLast(new ProtobufDecoder(Envelope.getDefaultInstance()));
-        p.addLast(new LengthFieldPrepender(TransportLimits.LENGTH_BYTES));
+        p.addLast(new LengthFieldPrepender(TransportLimits.LENGTH_PREFIX_BYTES));
         p.addLast(new ProtobufEncoder());
         p.addLast(new PeerChannel(PeerTransport.this, opener));
       }
--- a/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
@@ -34,7 +34,7 @@
           new RolloutMessage.ConfigBody(
               e.getConfigBody().getRevision(), Compression.decompress(e.getConfigBody().getGzip()));
       case CONFIG_APPLIED -> new RolloutMessage.ConfigApplied(e.getConfigApplied().getRevision());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/TrafficCounter.java
+++ b/wire/src/main/java/org/mustardlatch/wire/SocketByteCounter.java
@@ -8,10 +8,10 @@
 
 /** Counts the bytes on the socket, next to it in the pipeline. */
 @Sharable
-final class TrafficCounter extends ChannelDuplexHandler {
+final class SocketByteCounter extends ChannelDuplexHandler {
   private final TransportCounters counters;
 
-  TrafficCounter(TransportCounters counters) {
+  SocketByteCounter(TransportCounters counters) {
     this.counters = counters;
   }
 
--- a/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
@@ -18,17 +18,17 @@
   final LongAdder connectFailures = new LongAdder();
   final LongAdder silentClosed = new LongAdder();
   final LongAdder unusedClosed = new LongAdder();
-  private final AtomicLongMap<FrameRefusal> refusals = AtomicLongMap.create();
+  private final AtomicLongMap<FrameRefusal> refusalCount = AtomicLongMap.create();
 
   TransportCounters() {}
 
-  void refused(FrameRefusal reason) {
-    refusals.incrementAndGet(reason);
+  void countRefusal(FrameRefusal reason) {
+    refusalCount.incrementAndGet(reason);
   }
 
   /** Returns how many frames or connections were refused for this reason. */
-  public long refusals(FrameRefusal reason) {
-    return refusals.get(reason);
+  public long refusalCount(FrameRefusal reason) {
+    return refusalCount.get(reason);
   }
 
   /** Returns all counts by name. Bytes are those on the socket, with TLS and without TCP/IP. */
@@ -46,7 +46,7 @@
     all.put("silent_closed", silentClosed.sum());
     all.put("unused_closed", unusedClosed.sum());
     for (FrameRefusal reason : FrameRefusal.values()) {
-      all.put("refused_" + reason.label(), refusals(reason));
+      all.put("refused_" + reason.label(), refusalCount(reason));
     }
     return all;
   }
--- a/wire/src/main/java/org/mustardlatch/wire/TransportLimits.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportLimits.java
@@ -7,10 +7,10 @@
   /** A manifest has at most 1 MB, the largest value of the object service. */
   static final int MAX_FRAME_BYTES = 1_500_000;
 
-  static final int LENGTH_BYTES = 4;
+  static final int LENGTH_PREFIX_BYTES = 4;
 
   /** Messages that wait for one peer; more drop the oldest. */
-  static final int QUEUE_LIMIT = 256;
+  static final int MAX_QUEUED_MESSAGES = 256;
 
   /** A message that waited longer is dropped; heartbeats and answers are void by then. */
   static final long QUEUE_EXPIRY_NANOS = Duration.ofSeconds(5).toNanos();
@@ -20,33 +20,33 @@
   static final int HANDSHAKE_TIMEOUT_MILLIS = 3_000;
 
   /** Time within which the first valid frame must arrive on a connection to or from a stranger. */
-  static final long IDENTIFY_NANOS = Duration.ofSeconds(5).toNanos();
+  static final long IDENTIFICATION_TIMEOUT_NANOS = Duration.ofSeconds(5).toNanos();
 
   /** An accepted connection per node of the target and as many again while links are replaced. */
-  static final int MAX_ACCEPTED = 1_024;
+  static final int MAX_ACCEPTED_CONNECTIONS = 1_024;
 
-  static final Duration WATCH_PERIOD = Duration.ofMillis(400);
+  static final Duration CHECK_PERIOD = Duration.ofMillis(400);
 
   /** A watch that runs later than this was paused, and its view of silence is not reliable. */
-  static final long WATCH_LATE_NANOS = Duration.ofMillis(1_200).toNanos();
+  static final long DELAYED_CHECK_NANOS = Duration.ofMillis(1_200).toNanos();
 
   /** Time without any frame after a frame was sent, before a ping asks for a sign of life. */
-  static final long PING_AFTER_NANOS = Duration.ofMillis(1_300).toNanos();
+  static final long PING_DELAY_NANOS = Duration.ofMillis(1_300).toNanos();
 
   /**
    * Time without any frame after a frame was sent, before the connection counts as silent. Less
    * than three heartbeats, so that a fresh connection is tried before the host is suspected.
    */
-  static final long SILENT_AFTER_NANOS = Duration.ofMillis(2_200).toNanos();
+  static final long SILENCE_TIMEOUT_NANOS = Duration.ofMillis(2_200).toNanos();
 
   /** Bounds the time after which a connection of a silent peer is replaced again, to 18 s. */
-  static final int MAX_DOUBLINGS = 3;
+  static final int MAX_SILENCE_TIMEOUT_DOUBLINGS = 3;
 
   /** A connection without traffic gets a ping this often. */
-  static final long IDLE_PING_NANOS = Duration.ofSeconds(15).toNanos();
+  static final long IDLE_PING_INTERVAL_NANOS = Duration.ofSeconds(15).toNanos();
 
   /** A connection that carried no message for this long is closed. */
-  static final long UNUSED_AFTER_NANOS = Duration.ofSeconds(60).toNanos();
+  static final long UNUSED_TIMEOUT_NANOS = Duration.ofSeconds(60).toNanos();
 
   static final long MIN_BACKOFF_NANOS = Duration.ofMillis(100).toNanos();
   static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(5).toNanos();
--- a/wire/src/test/java/org/mustardlatch/wire/PeerCodecTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerCodecTest.java
@@ -33,9 +33,9 @@
 /** Guards against messages, or fields of them, that are lost on the wire. */
 class PeerCodecTest {
   private static final AttemptId ATTEMPT = new AttemptId(new RequestId("r-1"), 2);
-  private static final Fingerprint PRINT = new Fingerprint("0123456789abcdef".repeat(4));
+  private static final Fingerprint FINGERPRINT = new Fingerprint("0123456789abcdef".repeat(4));
   private static final UpstreamId UPSTREAM = new UpstreamId("engine-1");
-  private static final CellSummary SUMMARY = new CellSummary("cell-7", -3, 4_000_000_000L);
+  private static final CellSummary CELL_SUMMARY = new CellSummary("cell-7", -3, 4_000_000_000L);
 
   private static List<PeerMessage> samples() {
     List<Rumor> rumors =
@@ -60,15 +60,15 @@
                 new MembershipMessage.View(rumors, true),
                 new MembershipMessage.Suspicion(new HostId("h"), 3, 4),
                 new MembershipMessage.Sync(-5),
-                new RolloutMessage.ConfigOffer(7, PRINT.value()),
+                new RolloutMessage.ConfigOffer(7, FINGERPRINT.value()),
                 new RolloutMessage.ConfigFetch(7),
                 new RolloutMessage.ConfigBody(7, "[manifest]\nname = \"é\"\n"),
                 new RolloutMessage.ConfigApplied(7),
                 new BudgetMessage.BudgetLeaseRequest("retry", 1.5),
                 new BudgetMessage.BudgetLease("retry", 0.5, 1_000_000_000L),
-                new EvidenceMessage.CrashReport(UPSTREAM, "c-1", List.of(PRINT)),
-                new EvidenceMessage.RunRequest(PRINT, "r-1.2"),
-                new EvidenceMessage.Cleared(PRINT),
+                new EvidenceMessage.CrashReport(UPSTREAM, "c-1", List.of(FINGERPRINT)),
+                new EvidenceMessage.RunRequest(FINGERPRINT, "r-1.2"),
+                new EvidenceMessage.Cleared(FINGERPRINT),
                 new EvidenceMessage.LeavingNotice(UPSTREAM),
                 new LedgerMessage.LedgerStart(255, "k", "n", "d"),
                 new LedgerMessage.LedgerStarted("k", "n", "FINISHED", "n2", 200, "yes"),
@@ -83,7 +83,7 @@
       all.add(new AdmissionMessage.ReservationRelease(ATTEMPT, "cell-7", UPSTREAM, o));
     }
     for (EvidenceMessage.Verdict v : EvidenceMessage.Verdict.values()) {
-      all.add(new EvidenceMessage.RunPermission(PRINT, "r-1.2", v));
+      all.add(new EvidenceMessage.RunPermission(FINGERPRINT, "r-1.2", v));
     }
     return all;
   }
@@ -98,7 +98,7 @@
             100,
             200,
             List.of(-1L, 5L),
-            PRINT,
+            FINGERPRINT,
             900_000_000L,
             -1L,
             List.of(UPSTREAM)),
@@ -109,15 +109,15 @@
             new ModelId("m"),
             100,
             200,
-            PRINT,
+            FINGERPRINT,
             UPSTREAM,
             300_000_000L,
             List.of(UPSTREAM)),
-        new AdmissionMessage.ReserveQueued(ATTEMPT, 6, SUMMARY),
+        new AdmissionMessage.ReserveQueued(ATTEMPT, 6, CELL_SUMMARY),
         new AdmissionMessage.ReserveWithdraw(ATTEMPT, "cell-7"),
-        new AdmissionMessage.ReserveGranted(ATTEMPT, UPSTREAM, UPSTREAM, 5, SUMMARY),
-        new AdmissionMessage.ReserveRefused(ATTEMPT, ErrorCode.OVERLOADED, 5, SUMMARY),
-        SUMMARY);
+        new AdmissionMessage.ReserveGranted(ATTEMPT, UPSTREAM, UPSTREAM, 5, CELL_SUMMARY),
+        new AdmissionMessage.ReserveRefused(ATTEMPT, ErrorCode.OVERLOADED, 5, CELL_SUMMARY),
+        CELL_SUMMARY);
   }
 
   @Test
--- a/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
@@ -35,39 +35,39 @@
     public void membersChanged(MemberList list) {}
 
     @Override
-    public void suspected(HostId host) {}
+    public void nodeSuspected(HostId host) {}
 
     @Override
     public void fenced(long incarnation, long pausedNanos) {}
 
     @Override
-    public boolean apply(long revision, String text) {
+    public boolean applyManifest(long revision, String text) {
       return true;
     }
 
     @Override
-    public void accepted(long revision) {
+    public void manifestAccepted(long revision) {
       accepted = revision;
     }
 
     @Override
-    public void watchChanged(boolean watch) {}
+    public void manifestWatchChanged(boolean watch) {}
 
     @Override
-    public void ready(long revision) {}
+    public void configurationReady(long revision) {}
 
     @Override
-    public void received(HostId from, long incarnation, PeerMessage message) {
+    public void messageReceived(HostId from, long incarnation, PeerMessage message) {
       received.add(message);
     }
 
     @Override
-    public void unexpected(Throwable error) {
+    public void unexpectedError(Throwable error) {
       errors.add(error);
     }
   }
 
-  private final SystemTimers timers = new SystemTimers(1);
+  private final ThreadPoolTimerService timers = new ThreadPoolTimerService(1);
   private final List<PeerNode> nodes = new ArrayList<>();
   private final List<Recorder> recorders = new ArrayList<>();
 
@@ -109,18 +109,18 @@
   }
 
   @Test
-  void nodesJoinSpreadManifestsAndEvidenceAndNoticeALeave() throws Exception {
+  void nodesJoinDistributeManifestsAndEvidenceAndDetectALeavingNode() throws Exception {
     InetSocketAddress first = start(0, List.of());
     String seed = first.getAddress().getHostAddress() + ":" + first.getPort();
     for (int i = 1; i < 5; i++) {
       start(i, List.of(seed));
     }
     await(() -> nodes.stream().allMatch(n -> n.members().members().size() == 5));
-    nodes.get(3).published(1, "one");
-    await(() -> nodes.stream().allMatch(n -> n.revision() == 1 && n.ready()));
+    nodes.get(3).manifestPublished(1, "one");
+    await(() -> nodes.stream().allMatch(n -> n.activeRevision() == 1 && n.configurationReady()));
     await(() -> recorders.get(3).accepted == 1);
     EvidenceMessage notice = new EvidenceMessage.LeavingNotice(new UpstreamId("u"));
-    nodes.get(1).spread(notice);
+    nodes.get(1).broadcast(notice);
     await(() -> recorders.stream().filter(r -> r.received.contains(notice)).count() == 4);
     nodes.get(2).send(new HostId("n2"), notice);
     await(() -> recorders.get(2).received.size() == 2);
--- a/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
@@ -35,25 +35,25 @@
   private record Inbound(HostId from, long incarnation, PeerMessage message) {}
 
   private final BlockingQueue<Inbound> inbox = new LinkedBlockingQueue<>();
-  private final List<Throwable> unexpected = new ArrayList<>();
-  private final List<PeerTransport> started = new ArrayList<>();
+  private final List<Throwable> unexpectedErrors = new ArrayList<>();
+  private final List<PeerTransport> startedTransports = new ArrayList<>();
   @TempDir Path directory;
 
   @AfterEach
   void stopAll() {
-    started.forEach(PeerTransport::stop);
-    assertThat(unexpected).isEmpty();
+    startedTransports.forEach(PeerTransport::stop);
+    assertThat(unexpectedErrors).isEmpty();
   }
 
   private PeerTransport transport(HostId host, @Nullable TlsFiles tls, int port) {
     return new PeerTransport(
         new PeerTransportOptions(host, () -> 7, loopback(port), tls, null),
         (from, incarnation, message) -> inbox.add(new Inbound(from, incarnation, message)),
-        unexpected::add);
+        unexpectedErrors::add);
   }
 
   private InetSocketAddress start(PeerTransport t) {
-    started.add(t);
+    startedTransports.add(t);
     return t.start();
   }
 
@@ -61,11 +61,11 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private Inbound received() throws InterruptedException {
+  private Inbound nextMessage() throws InterruptedException {
     Inbound next = inbox.poll(20, TimeUnit.SECONDS);
     assertThat(next).isNotNull();
     return next;
@@ -87,20 +87,20 @@
   }
 
   @Test
-  void answersComeBackOverTheSameConnection() throws Exception {
+  void responsesUseTheConnectionOfTheRequest() throws Exception {
     PeerTransport a = transport(A, null, 0);
     PeerTransport b = transport(B, null, 0);
     start(a);
     InetSocketAddress atB = start(b);
-    a.send(B, text(atB), new ConfigFetch(1));
-    assertThat(received()).isEqualTo(new Inbound(A, 7, new ConfigFetch(1)));
+    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    assertThat(nextMessage()).isEqualTo(new Inbound(A, 7, new ConfigFetch(1)));
     b.send(A, null, new ConfigBody(1, "x".repeat(1_000_000)));
-    assertThat(received().message()).isEqualTo(new ConfigBody(1, "x".repeat(1_000_000)));
+    assertThat(nextMessage().message()).isEqualTo(new ConfigBody(1, "x".repeat(1_000_000)));
     assertThat(b.counters().snapshot()).containsEntry("connections_opened", 0L);
   }
 
   @Test
-  void connectionsWithoutTlsStayOnLoopback() {
+  void connectionsWithoutTlsAreRestrictedToLoopback() {
     assertThrows(
         IllegalArgumentException.class,
         () ->
@@ -108,18 +108,18 @@
   }
 
   @Test
-  void peersWithCertificatesOfTheFleetTalk() throws Exception {
+  void peersWithCertificatesOfTheSameAuthorityExchangeMessages() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     start(transport(A, ca.issue("a"), 0));
     InetSocketAddress atB = start(transport(B, ca.issue("b"), 0));
-    started.get(0).sendToAddress(text(atB), new ConfigFetch(1));
-    assertThat(received().from()).isEqualTo(A);
-    started.get(1).send(A, null, new ConfigFetch(2));
-    assertThat(received().from()).isEqualTo(B);
+    startedTransports.get(0).sendToAddress(hostAndPort(atB), new ConfigFetch(1));
+    assertThat(nextMessage().from()).isEqualTo(A);
+    startedTransports.get(1).send(A, null, new ConfigFetch(2));
+    assertThat(nextMessage().from()).isEqualTo(B);
   }
 
   @Test
-  void aStrangersCertificateIsRefusedAndCounted() throws Exception {
+  void aCertificateOfAnotherAuthorityIsRefusedAndCounted() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     PeerTransport b = transport(B, ca.issue("b"), 0);
     InetSocketAddress atB = start(b);
@@ -127,36 +127,36 @@
     TlsFiles stranger = new TlsFiles(own.certificate(), own.key(), ca.issue("c").ca());
     PeerTransport a = transport(A, stranger, 0);
     start(a);
-    a.send(B, text(atB), new ConfigFetch(1));
-    await(() -> b.counters().refusals(FrameRefusal.STRANGER) > 0);
+    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    await(() -> b.counters().refusalCount(FrameRefusal.STRANGER) > 0);
     assertThat(inbox).isEmpty();
   }
 
   @Test
-  void aHostThatItsCertificateDoesNotStateIsRefused() throws Exception {
+  void aHostNotNamedInItsCertificateIsRefused() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     PeerTransport b = transport(B, ca.issue("b"), 0);
     InetSocketAddress atB = start(b);
     PeerTransport a = transport(A, ca.issue("other"), 0);
     start(a);
-    a.send(B, text(atB), new ConfigFetch(1));
-    await(() -> b.counters().refusals(FrameRefusal.HOST_MISMATCH) > 0);
+    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    await(() -> b.counters().refusalCount(FrameRefusal.HOST_MISMATCH) > 0);
     assertThat(inbox).isEmpty();
   }
 
   @Test
-  void aServerThatIsNotTheExpectedHostGetsNothing() throws Exception {
+  void aServerThatIsNotTheExpectedHostReceivesNoMessage() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     InetSocketAddress atB = start(transport(B, ca.issue("b"), 0));
     PeerTransport a = transport(A, ca.issue("a"), 0);
     start(a);
-    a.send(new HostId("c"), text(atB), new ConfigFetch(1));
-    await(() -> a.counters().refusals(FrameRefusal.HOST_MISMATCH) > 0);
+    a.send(new HostId("c"), hostAndPort(atB), new ConfigFetch(1));
+    await(() -> a.counters().refusalCount(FrameRefusal.HOST_MISMATCH) > 0);
     assertThat(inbox).isEmpty();
   }
 
   @Test
-  void damagedFramesAreRefusedByReasonAndOthersStillArrive() throws Exception {
+  void invalidFramesAreRefusedByReasonAndLaterConnectionsWork() throws Exception {
     PeerTransport b = transport(B, null, 0);
     InetSocketAddress atB = start(b);
     try (Socket s = connect(atB)) {
@@ -165,35 +165,35 @@
       write(out, frame("a", 1));
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
-    await(() -> b.counters().refusals(FrameRefusal.REPLAYED) == 1);
+    await(() -> b.counters().refusalCount(FrameRefusal.REPLAYED) == 1);
     try (Socket s = connect(atB)) {
       byte[] whole = frame("a", 1);
       DataOutputStream out = new DataOutputStream(s.getOutputStream());
       out.writeInt(whole.length);
       out.write(whole, 0, whole.length - 1);
     }
-    await(() -> b.counters().refusals(FrameRefusal.TRUNCATED) == 1);
+    await(() -> b.counters().refusalCount(FrameRefusal.TRUNCATED) == 1);
     try (Socket s = connect(atB)) {
       new DataOutputStream(s.getOutputStream()).writeInt(TransportLimits.MAX_FRAME_BYTES + 1);
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
-    await(() -> b.counters().refusals(FrameRefusal.OVERSIZED) == 1);
+    await(() -> b.counters().refusalCount(FrameRefusal.OVERSIZED) == 1);
     try (Socket s = connect(atB)) {
       write(new DataOutputStream(s.getOutputStream()), new byte[] {1, 2, 3});
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
-    await(() -> b.counters().refusals(FrameRefusal.MALFORMED) == 1);
+    await(() -> b.counters().refusalCount(FrameRefusal.MALFORMED) == 1);
     try (Socket s = connect(atB)) {
       write(new DataOutputStream(s.getOutputStream()), frame("b", 1));
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
-    await(() -> b.counters().refusals(FrameRefusal.OWN_HOST) == 1);
-    assertThat(received().message()).isEqualTo(new ConfigFetch(1));
+    await(() -> b.counters().refusalCount(FrameRefusal.OWN_HOST) == 1);
+    assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(1));
     assertThat(inbox).isEmpty();
     PeerTransport a = transport(A, null, 0);
     start(a);
-    a.send(B, text(atB), new ConfigFetch(5));
-    assertThat(received().message()).isEqualTo(new ConfigFetch(5));
+    a.send(B, hostAndPort(atB), new ConfigFetch(5));
+    assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(5));
   }
 
   private static Socket connect(InetSocketAddress to) throws IOException {
@@ -209,31 +209,31 @@
   }
 
   @Test
-  void messagesArriveAgainAfterThePeerRestarted() throws Exception {
+  void messagesArriveAgainAfterThePeerRestarts() throws Exception {
     PeerTransport a = transport(A, null, 0);
     start(a);
     PeerTransport b = transport(B, null, 0);
     InetSocketAddress atB = start(b);
-    a.send(B, text(atB), new ConfigFetch(1));
-    assertThat(received().message()).isEqualTo(new ConfigFetch(1));
+    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(1));
     b.stop();
     start(transport(B, null, atB.getPort()));
     PeerMessage second = new ConfigFetch(2);
     await(
         () -> {
-          a.send(B, text(atB), second);
+          a.send(B, hostAndPort(atB), second);
           return inbox.stream().anyMatch(i -> i.message().equals(second));
         });
   }
 
   /** A connection whose peer reads nothing more must not be used until TCP gives up. */
   @Test
-  void aSilentConnectionIsReplacedByAFreshOne() throws Exception {
+  void aSilentConnectionIsReplaced() throws Exception {
     PeerTransport a = transport(A, null, 0);
     start(a);
     try (ServerSocket mute = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
       mute.setSoTimeout(20_000);
-      a.send(B, text(loopback(mute.getLocalPort())), new ConfigFetch(1));
+      a.send(B, hostAndPort(loopback(mute.getLocalPort())), new ConfigFetch(1));
       try (Socket first = mute.accept();
           Socket second = mute.accept()) {
         assertThat(first.isConnected()).isTrue();
@@ -251,12 +251,12 @@
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
-    int sent = TransportLimits.QUEUE_LIMIT + 10;
+    int sent = TransportLimits.MAX_QUEUED_MESSAGES + 10;
     for (int i = 1; i <= sent; i++) {
-      a.send(B, text(loopback(port)), new ConfigFetch(i));
+      a.send(B, hostAndPort(loopback(port)), new ConfigFetch(i));
     }
     assertThat(a.counters().snapshot()).containsEntry("queue_drops", 10L);
     start(transport(B, null, port));
-    assertThat(received().message()).isEqualTo(new ConfigFetch(11));
+    assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(11));
   }
 }
--- a/wire/src/test/java/org/mustardlatch/wire/TestCertificates.java
+++ b/wire/src/test/java/org/mustardlatch/wire/TestCertificates.java
@@ -29,19 +29,19 @@
 /** A certificate authority that writes PEM files of hosts into a directory. */
 public final class TestCertificates {
   private final Path directory;
-  private final KeyPair authority;
+  private final KeyPair caKey;
   private final X500Name issuer;
   private long serial = 1;
 
   /** Creates an authority with a key of its own. */
   public TestCertificates(Path directory, String name) {
     this.directory = directory;
-    this.authority = newKey();
+    this.caKey = newKey();
     this.issuer = new X500Name("CN=" + name);
     try {
-      X509v3CertificateBuilder b = builder(issuer, authority);
+      X509v3CertificateBuilder b = builder(issuer, caKey);
       b.addExtension(Extension.basicConstraints, true, new BasicConstraints(true));
-      write(ca(), sign(b));
+      write(caFile(), sign(b));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -58,13 +58,13 @@
       Path privateKey = directory.resolve(host + ".key");
       write(certificate, sign(b));
       write(privateKey, new JcaPKCS8Generator(key.getPrivate(), null));
-      return new TlsFiles(certificate, privateKey, ca());
+      return new TlsFiles(certificate, privateKey, caFile());
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private Path ca() {
+  private Path caFile() {
     return directory.resolve(issuer.toString().substring("CN=".length()) + "-ca.crt");
   }
 
@@ -84,7 +84,7 @@
       return new JcaX509CertificateConverter()
           .getCertificate(
               builder.build(
-                  new JcaContentSignerBuilder("SHA256withECDSA").build(authority.getPrivate())));
+                  new JcaContentSignerBuilder("SHA256withECDSA").build(caKey.getPrivate())));
     } catch (GeneralSecurityException | OperatorCreationException e) {
       throw new IllegalStateException(e);
     }
--- a/wire/src/test/java/org/mustardlatch/wire/SystemTimers.java
+++ b/wire/src/test/java/org/mustardlatch/wire/ThreadPoolTimerService.java
@@ -9,11 +9,11 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /** Timers on a thread pool, for programs and tests that run several nodes in one process. */
-public final class SystemTimers implements TimerService, AutoCloseable {
+public final class ThreadPoolTimerService implements TimerService, AutoCloseable {
   private final ScheduledThreadPoolExecutor executor;
 
   /** Creates the pool. */
-  public SystemTimers(int threads) {
+  public ThreadPoolTimerService(int threads) {
     executor = new ScheduledThreadPoolExecutor(threads);
     executor.setRemoveOnCancelPolicy(true);
   }
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
@@ -30,7 +30,7 @@
 /** Prints the size of each message on the socket, and what a manifest costs; no sockets. */
 public final class BenchCosts {
   /** Length prefix, and header, content type and tag of a TLS 1.3 record. */
-  private static final int FRAMING = 4 + 22;
+  private static final int FRAMING_BYTES = 4 + 22;
 
   private static final int ROUNDS = 12;
 
@@ -63,25 +63,25 @@
             new CrashReport(engine, "oslo-a-router-117/1764000000000/12", List.of(print, print)),
             new LedgerStart(217, "0".repeat(32), "n".repeat(48), "d".repeat(64)),
             new ConfigOffer(1_000, print.value()))) {
-      System.out.printf(Locale.ROOT, "%-22s %6d bytes%n", m.getClass().getSimpleName(), size(m));
+      System.out.printf(Locale.ROOT, "%-22s %6d bytes%n", m.getClass().getSimpleName(), socketBytes(m));
     }
     for (int engines : new int[] {13, 600, 4_800}) {
-      manifest(engines);
+      measureManifest(engines);
     }
   }
 
-  private static int size(PeerMessage message) {
+  private static int socketBytes(PeerMessage message) {
     Envelope.Builder b =
         Envelope.newBuilder()
             .setHost("oslo-a-router-117")
             .setIncarnation(1_764_000_000_000L)
             .setSequence(1_000_000);
     PeerCodec.encode(message, b);
-    return b.build().getSerializedSize() + FRAMING;
+    return b.build().getSerializedSize() + FRAMING_BYTES;
   }
 
   /** Parses a manifest several times; the last rounds count. */
-  private static void manifest(int engines) {
+  private static void measureManifest(int engines) {
     String text = TargetManifest.text(engines, 1);
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     long cpu = 0;
@@ -99,7 +99,7 @@
     int counted = ROUNDS - ROUNDS / 2;
     long packBefore = threads.getCurrentThreadCpuTime();
     for (int i = 0; i < ROUNDS; i++) {
-      findings += size(new ConfigBody(1_000, TargetManifest.text(engines, i + 2))) < 0 ? 1 : 0;
+      findings += socketBytes(new ConfigBody(1_000, TargetManifest.text(engines, i + 2))) < 0 ? 1 : 0;
     }
     double packed = (threads.getCurrentThreadCpuTime() - packBefore) / 1e6 / ROUNDS;
     System.out.printf(
@@ -108,7 +108,7 @@
             + " %.1f MB allocated, %d findings%n",
         engines,
         text.getBytes(StandardCharsets.UTF_8).length,
-        size(new ConfigBody(1_000, text)),
+        socketBytes(new ConfigBody(1_000, text)),
         packed,
         cpu / 1e6 / counted,
         allocated / 1e6 / counted,
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
@@ -23,7 +23,7 @@
 import org.mustardlatch.core.model.ZoneId;
 import org.mustardlatch.wire.PeerNode;
 import org.mustardlatch.wire.PeerNodeOptions;
-import org.mustardlatch.wire.SystemTimers;
+import org.mustardlatch.wire.ThreadPoolTimerService;
 import org.mustardlatch.wire.TestCertificates;
 
 /** Runs one fleet and measures it. */
@@ -38,17 +38,17 @@
   private final BenchOptions options;
   private final TestCertificates authority;
   private final EventLoopGroup group;
-  private final SystemTimers timers = new SystemTimers(1);
+  private final ThreadPoolTimerService timers = new ThreadPoolTimerService(1);
   private final Random random = new Random(1);
   private final List<PeerNode> nodes = new ArrayList<>();
-  private final List<BenchNode> recorders = new ArrayList<>();
-  private final AtomicLong errors = new AtomicLong();
-  private final Histogram spread = new ConcurrentHistogram(MAX_MILLIS, 3);
-  private final Histogram detection = new Histogram(MAX_MILLIS, 3);
+  private final List<RecordingListener> recorders = new ArrayList<>();
+  private final AtomicLong errorCount = new AtomicLong();
+  private final Histogram activationMillis = new ConcurrentHistogram(MAX_MILLIS, 3);
+  private final Histogram detectionMillis = new Histogram(MAX_MILLIS, 3);
   private final long deadlineNanos;
   private volatile long publishedNanos;
   private volatile long publishedRevision;
-  private final CountDownLatch never = new CountDownLatch(1);
+  private final CountDownLatch neverReleased = new CountDownLatch(1);
 
   BenchFleet(int size, BenchOptions options, TestCertificates authority, EventLoopGroup group) {
     this.size = size;
@@ -60,50 +60,50 @@
 
   BenchResult run() throws InterruptedException {
     long start = System.nanoTime();
-    join();
+    joinNodes();
     final double joinSeconds = (System.nanoTime() - start) / 1e9;
-    progress("settling");
+    showProgress("settling");
     pause(5_000);
-    progress("steady phase");
+    showProgress("steady phase");
     final BenchResult.Phase steady = measure(() -> pause(options.steadySeconds * 1_000L));
-    progress("connections for requests");
-    final List<List<HostId>> targets = connect();
-    progress("requests");
-    final BenchResult.Phase loaded = measure(() -> requests(targets));
-    progress("configuration changes");
-    final BenchResult.Phase changing = measure(this::changes);
-    progress("kills");
-    kills();
-    progress("");
+    showProgress("connections for requests");
+    final List<List<HostId>> targets = openConnections();
+    showProgress("requests");
+    final BenchResult.Phase loaded = measure(() -> sendRequests(targets));
+    showProgress("configuration changes");
+    final BenchResult.Phase changing = measure(this::publishChanges);
+    showProgress("kills");
+    killNodes();
+    showProgress("");
     return new BenchResult(
         size,
         joinSeconds,
         steady,
         loaded,
         changing,
-        spread,
-        detection,
-        refusals(),
-        recorders.stream().mapToLong(r -> r.suspicions).sum(),
-        errors.get());
+        activationMillis,
+        detectionMillis,
+        refusalsAndDrops(),
+        recorders.stream().mapToLong(r -> r.suspicionCount).sum(),
+        errorCount.get());
   }
 
-  private void join() throws InterruptedException {
+  private void joinNodes() throws InterruptedException {
     List<String> seeds = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      InetSocketAddress bound = start(i, seeds);
+      InetSocketAddress bound = startNode(i, seeds);
       if (i < 3) {
         seeds.add(bound.getAddress().getHostAddress() + ":" + bound.getPort());
       }
       pause(1_000 / options.joinsPerSecond);
     }
-    await("join", () -> recorders.stream().allMatch(r -> r.size() == size));
+    await("join", () -> recorders.stream().allMatch(r -> r.memberCount() == size));
   }
 
-  private InetSocketAddress start(int i, List<String> seeds) {
+  private InetSocketAddress startNode(int i, List<String> seeds) {
     String name = "n" + i;
     int zone = i % ZONES;
-    BenchNode recorder = new BenchNode(errors, this::applied);
+    RecordingListener recorder = new RecordingListener(errorCount, this::revisionApplied);
     PeerNode node =
         new PeerNode(
             new PeerNodeOptions(
@@ -124,19 +124,19 @@
     return node.start();
   }
 
-  private void applied(long revision, long atNanos) {
+  private void revisionApplied(long revision, long atNanos) {
     if (revision == publishedRevision) {
-      spread.recordValue(Math.min(MAX_MILLIS, (atNanos - publishedNanos) / 1_000_000));
+      activationMillis.recordValue(Math.min(MAX_MILLIS, (atNanos - publishedNanos) / 1_000_000));
     }
   }
 
   /** Opens the connections for requests one by one; handshakes would stall the few threads. */
-  private List<List<HostId>> connect() throws InterruptedException {
+  private List<List<HostId>> openConnections() throws InterruptedException {
     List<List<HostId>> targets = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       PeerNode node = nodes.get(i);
-      recorders.get(i).reply = node::send;
-      targets.add(targets(i));
+      recorders.get(i).messageSender = node::send;
+      targets.add(chooseTargets(i));
       for (HostId to : targets.get(i)) {
         node.send(to, BenchMessages.reserve(i));
         pause(CONNECT_PERIOD_MILLIS);
@@ -147,7 +147,7 @@
   }
 
   /** Each node asks other nodes of its region for reservations, as an entry node does. */
-  private void requests(List<List<HostId>> targets) throws InterruptedException {
+  private void sendRequests(List<List<HostId>> targets) throws InterruptedException {
     int rounds = options.steadySeconds * ROUNDS_PER_SECOND;
     long start = System.nanoTime();
     for (int round = 1; round <= rounds; round++) {
@@ -163,7 +163,7 @@
     }
   }
 
-  private List<HostId> targets(int i) {
+  private List<HostId> chooseTargets(int i) {
     List<Integer> others = new ArrayList<>();
     for (int k = 0; k < size; k++) {
       if (k != i && inFirstRegion(k) == inFirstRegion(i)) {
@@ -178,18 +178,18 @@
     return i % ZONES < ZONES_OF_FIRST_REGION;
   }
 
-  private void changes() throws InterruptedException {
+  private void publishChanges() throws InterruptedException {
     for (int c = 1; c <= options.changes; c++) {
       publishedRevision = c;
       publishedNanos = System.nanoTime();
-      nodes.get(random.nextInt(size)).published(c, TargetManifest.text(options.engines, c));
+      nodes.get(random.nextInt(size)).manifestPublished(c, TargetManifest.text(options.engines, c));
       pause(3_000);
     }
     long last = options.changes;
-    await("last change", () -> nodes.stream().allMatch(n -> n.revision() == last));
+    await("last change", () -> nodes.stream().allMatch(n -> n.activeRevision() == last));
   }
 
-  private void kills() throws InterruptedException {
+  private void killNodes() throws InterruptedException {
     for (int k = 0; k < options.kills; k++) {
       int victim = nodes.size() - 1;
       HostId host = new HostId("n" + victim);
@@ -197,56 +197,56 @@
       recorders.remove(victim);
       long killed = System.nanoTime();
       node.stop();
-      await("kill", () -> recorders.stream().noneMatch(r -> r.sees(host)));
-      for (BenchNode r : recorders) {
-        detection.recordValue(
+      await("kill", () -> recorders.stream().noneMatch(r -> r.hasMember(host)));
+      for (RecordingListener r : recorders) {
+        detectionMillis.recordValue(
             Math.min(MAX_MILLIS, Math.max(0, r.membersChangedNanos - killed) / 1_000_000));
       }
     }
   }
 
-  private interface Work {
+  private interface Workload {
     void run() throws InterruptedException;
   }
 
-  private BenchResult.Phase measure(Work work) throws InterruptedException {
-    Map<String, Long> before = totals();
-    long cpu = processNanos();
+  private BenchResult.Phase measure(Workload work) throws InterruptedException {
+    Map<String, Long> before = counterTotals();
+    long cpu = processCpuNanos();
     final long start = System.nanoTime();
     work.run();
     final double seconds = (System.nanoTime() - start) / 1e9;
-    final double used = (processNanos() - cpu) / 1e9;
-    Map<String, Long> after = totals();
+    final double used = (processCpuNanos() - cpu) / 1e9;
+    Map<String, Long> after = counterTotals();
     System.gc();
     Runtime r = Runtime.getRuntime();
     return new BenchResult.Phase(
         used / seconds / size,
-        rate(before, after, "bytes_sent", seconds),
-        rate(before, after, "bytes_received", seconds),
-        rate(before, after, "frames_sent", seconds),
+        ratePerNode(before, after, "bytes_sent", seconds),
+        ratePerNode(before, after, "bytes_received", seconds),
+        ratePerNode(before, after, "frames_sent", seconds),
         (double) (r.totalMemory() - r.freeMemory()) / size,
         (double) PlatformDependent.usedDirectMemory() / size,
-        connections());
+        meanConnections());
   }
 
-  private double connections() {
-    return nodes.stream().mapToInt(PeerNode::connections).average().orElse(0);
+  private double meanConnections() {
+    return nodes.stream().mapToInt(PeerNode::connectionCount).average().orElse(0);
   }
 
-  private double rate(
+  private double ratePerNode(
       Map<String, Long> before, Map<String, Long> after, String name, double seconds) {
     return (after.getOrDefault(name, 0L) - before.getOrDefault(name, 0L)) / seconds / size;
   }
 
-  private Map<String, Long> totals() {
+  private Map<String, Long> counterTotals() {
     Map<String, Long> sum = new LinkedHashMap<>();
     nodes.forEach(n -> n.counters().snapshot().forEach((k, v) -> sum.merge(k, v, Long::sum)));
     return sum;
   }
 
-  private Map<String, Long> refusals() {
+  private Map<String, Long> refusalsAndDrops() {
     Map<String, Long> found = new LinkedHashMap<>();
-    totals()
+    counterTotals()
         .forEach(
             (k, v) -> {
               if (v > 0
@@ -259,7 +259,7 @@
     return found;
   }
 
-  private static long processNanos() {
+  private static long processCpuNanos() {
     return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
         .getProcessCpuTime();
   }
@@ -270,18 +270,18 @@
         throw new IllegalStateException(
             what + " not finished within " + options.limitSeconds + " s at " + size + " nodes");
       }
-      progress(what);
+      showProgress(what);
       pause(100);
     }
   }
 
   private void pause(long millis) throws InterruptedException {
-    if (never.await(millis, TimeUnit.MILLISECONDS)) {
+    if (neverReleased.await(millis, TimeUnit.MILLISECONDS)) {
       throw new IllegalStateException("latch is never released");
     }
   }
 
-  private void progress(String phase) {
+  private void showProgress(String phase) {
     System.err.printf("\r%-60s", phase.isEmpty() ? "" : size + " nodes: " + phase);
     System.err.flush();
   }
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
@@ -11,8 +11,8 @@
  * @param steady figures without configuration changes
  * @param loaded figures while each node asks others for reservations
  * @param changing figures with a configuration change every three seconds
- * @param spread time from a publish until the revision is in force, over all nodes and changes, ms
- * @param detection time from a kill until a node dropped the victim, over all nodes and kills, ms
+ * @param activationMillis time from a publish until the revision is in force, over all nodes and changes, ms
+ * @param detectionMillis time from a kill until a node dropped the victim, over all nodes and kills, ms
  */
 record BenchResult(
     int nodes,
@@ -20,11 +20,11 @@
     Phase steady,
     Phase loaded,
     Phase changing,
-    Histogram spread,
-    Histogram detection,
-    Map<String, Long> refusals,
-    long suspicions,
-    long errors) {
+    Histogram activationMillis,
+    Histogram detectionMillis,
+    Map<String, Long> refusalsAndDrops,
+    long suspicionCount,
+    long errorCount) {
 
   /**
    * Rates of one phase, per node.
@@ -35,7 +35,7 @@
       double coreShare,
       double bytesSent,
       double bytesReceived,
-      double messagesSent,
+      double framesSent,
       double heapBytes,
       double directBytes,
       double connections) {
@@ -44,7 +44,7 @@
       all.put("core_share", coreShare);
       all.put("bytes_sent_per_s", bytesSent);
       all.put("bytes_received_per_s", bytesReceived);
-      all.put("messages_sent_per_s", messagesSent);
+      all.put("messages_sent_per_s", framesSent);
       all.put("heap_bytes", heapBytes);
       all.put("direct_bytes", directBytes);
       all.put("connections", connections);
@@ -60,7 +60,7 @@
           coreShare * 100,
           bytesSent,
           bytesReceived,
-          messagesSent,
+          framesSent,
           heapBytes / 1e6,
           directBytes / 1e6,
           connections);
@@ -82,15 +82,15 @@
             "%n      join %.1f s, in force p50 %d p99 %d max %d ms,"
                 + " detection p50 %d p99 %d max %d ms, suspicions %d, errors %d, refused %s",
             joinSeconds,
-            spread.getValueAtPercentile(50),
-            spread.getValueAtPercentile(99),
-            spread.getMaxValue(),
-            detection.getValueAtPercentile(50),
-            detection.getValueAtPercentile(99),
-            detection.getMaxValue(),
-            suspicions,
-            errors,
-            refusals);
+            activationMillis.getValueAtPercentile(50),
+            activationMillis.getValueAtPercentile(99),
+            activationMillis.getMaxValue(),
+            detectionMillis.getValueAtPercentile(50),
+            detectionMillis.getValueAtPercentile(99),
+            detectionMillis.getMaxValue(),
+            suspicionCount,
+            errorCount,
+            refusalsAndDrops);
   }
 
   Map<String, Object> toMap() {
@@ -100,11 +100,11 @@
     all.put("steady", steady.toMap());
     all.put("requests", loaded.toMap());
     all.put("changing", changing.toMap());
-    all.put("in_force_ms", percentiles(spread));
-    all.put("detection_ms", percentiles(detection));
-    all.put("suspicions", suspicions);
-    all.put("errors", errors);
-    all.put("refusals", refusals);
+    all.put("in_force_ms", percentiles(activationMillis));
+    all.put("detection_ms", percentiles(detectionMillis));
+    all.put("suspicions", suspicionCount);
+    all.put("errors", errorCount);
+    all.put("refusals", refusalsAndDrops);
     return all;
   }
 
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchNode.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/RecordingListener.java
@@ -11,27 +11,27 @@
 import org.mustardlatch.wire.PeerNodeListener;
 
 /** Records when a node sees what. */
-final class BenchNode implements PeerNodeListener {
-  private final AtomicLong errors;
-  private final BiConsumer<Long, Long> applied;
+final class RecordingListener implements PeerNodeListener {
+  private final AtomicLong errorCount;
+  private final BiConsumer<Long, Long> revisionListener;
   private volatile MemberList members = new MemberList(List.of(), Set.of());
-  volatile BiConsumer<HostId, PeerMessage> reply = (to, message) -> {};
+  volatile BiConsumer<HostId, PeerMessage> messageSender = (to, message) -> {};
   volatile long membersChangedNanos;
-  volatile int suspicions;
+  volatile int suspicionCount;
 
   /**
    * @param applied receives revision and time of each configuration that came into force
    */
-  BenchNode(AtomicLong errors, BiConsumer<Long, Long> applied) {
-    this.errors = errors;
-    this.applied = applied;
+  RecordingListener(AtomicLong errors, BiConsumer<Long, Long> applied) {
+    this.errorCount = errors;
+    this.revisionListener = applied;
   }
 
-  int size() {
+  int memberCount() {
     return members.members().size();
   }
 
-  boolean sees(HostId host) {
+  boolean hasMember(HostId host) {
     return members.members().stream().anyMatch(m -> m.host().equals(host));
   }
 
@@ -43,41 +43,41 @@
 
   @Override
   @SuppressWarnings("NonAtomicVolatileUpdate") // calls come one after another
-  public void suspected(HostId host) {
-    suspicions++;
+  public void nodeSuspected(HostId host) {
+    suspicionCount++;
   }
 
   @Override
   public void fenced(long incarnation, long pausedNanos) {}
 
   @Override
-  public boolean apply(long revision, String text) {
-    applied.accept(revision, System.nanoTime());
+  public boolean applyManifest(long revision, String text) {
+    revisionListener.accept(revision, System.nanoTime());
     return true;
   }
 
   @Override
-  public void accepted(long revision) {}
+  public void manifestAccepted(long revision) {}
 
   @Override
-  public void watchChanged(boolean watch) {}
+  public void manifestWatchChanged(boolean watch) {}
 
   @Override
-  public void ready(long revision) {}
+  public void configurationReady(long revision) {}
 
   /** Plays the admitting node and the entry node of a request: grant, then release. */
   @Override
-  public void received(HostId from, long incarnation, PeerMessage message) {
+  public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage.Reserve m -> reply.accept(from, BenchMessages.granted(m));
-      case AdmissionMessage.ReserveGranted m -> reply.accept(from, BenchMessages.release(m));
+      case AdmissionMessage.Reserve m -> messageSender.accept(from, BenchMessages.granted(m));
+      case AdmissionMessage.ReserveGranted m -> messageSender.accept(from, BenchMessages.release(m));
       default -> {}
     }
   }
 
   @Override
-  public void unexpected(Throwable error) {
-    if (errors.getAndIncrement() == 0) {
+  public void unexpectedError(Throwable error) {
+    if (errorCount.getAndIncrement() == 0) {
       System.err.println("unexpected: " + error);
     }
   }
