--- a/wire/src/main/java/org/mustardlatch/wire/AdmissionCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/AdmissionCodec.java
@@ -13,7 +13,7 @@
 import org.mustardlatch.wire.generated.PeerProto.Outcome;
 import org.mustardlatch.wire.generated.PeerProto.Stage;
 
-/** Admission messages. */
+/** Converts admission messages to and from the body of an envelope. */
 final class AdmissionCodec {
   private AdmissionCodec() {}
 
--- a/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
@@ -3,7 +3,7 @@
 import org.mustardlatch.core.peer.BudgetMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Budget messages. */
+/** Converts shared budget messages to and from the body of an envelope. */
 final class BudgetCodec {
   private BudgetCodec() {}
 
--- a/wire/src/main/java/org/mustardlatch/wire/CertificateNames.java
+++ b/wire/src/main/java/org/mustardlatch/wire/CertificateNames.java
@@ -12,13 +12,14 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 import javax.net.ssl.SSLSession;
 
-/** Host names that a certificate states. */
+/** Extracts the host names from a certificate. */
 final class CertificateNames {
+  /** Type of a DNS name among the subject alternative names (RFC 5280). */
   private static final int DNS_NAME = 2;
 
   private CertificateNames() {}
 
-  /** Returns the names in the peer's certificate; empty when it presented none. */
+  /** Returns the names in the peer's certificate; empty if it presented none. */
   static Set<String> of(SSLSession session) {
     try {
       return session.getPeerCertificates()[0] instanceof X509Certificate c ? of(c) : Set.of();
@@ -27,7 +28,7 @@
     }
   }
 
-  /** Returns the DNS names and the common name; empty when the certificate can't be parsed. */
+  /** Returns the DNS names and the common name; empty if the certificate can't be parsed. */
   static Set<String> of(X509Certificate certificate) {
     Set<String> names = new HashSet<>();
     try {
--- a/wire/src/main/java/org/mustardlatch/wire/Compression.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Compression.java
@@ -11,15 +11,16 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** Compresses manifests, whose entries resemble each other. */
+/** Compresses manifests with gzip; their entries are similar to each other. */
 final class Compression {
-  /** Four times the largest value of the object service; a frame must not expand without bound. */
+  /** Limits the expansion of a small frame; four times the largest value of the object service. */
   static final int MAX_TEXT_BYTES = 4_000_000;
 
   private record CompressedText(String text, ByteString gzip) {}
 
-  /** The manifest in force, because up to 16 neighbours fetch it at the same time. */
-  private static volatile CompressedText lastCompressed = new CompressedText("", compressUncached(""));
+  /** Caches the active manifest, because up to 16 neighbours fetch it at the same time. */
+  private static volatile CompressedText lastCompressed =
+      new CompressedText("", compressUncached(""));
 
   private Compression() {}
 
@@ -42,7 +43,12 @@
     return ByteString.copyFrom(bytes.toByteArray());
   }
 
-  /** Throws {@link IllegalArgumentException} when the bytes are damaged or expand too far. */
+  /**
+   * Returns the text of compressed bytes.
+   *
+   * @throws IllegalArgumentException if the bytes are not valid gzip or expand beyond {@link
+   *     #MAX_TEXT_BYTES}
+   */
   static String decompress(ByteString compressed) {
     try (InputStream gzip = new GZIPInputStream(compressed.newInput())) {
       byte[] text = ByteStreams.limit(gzip, MAX_TEXT_BYTES + 1L).readAllBytes();
@@ -52,7 +58,7 @@
       }
       return new String(text, StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new IllegalArgumentException("text is not gzip: " + e.getMessage(), e);
+      throw new IllegalArgumentException("text is not valid gzip: " + e.getMessage(), e);
     }
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
+++ b/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import java.util.List;
 
-/** Length-prefixed frames; counts a frame that the end of the connection cut off. */
+/** Decodes length-prefixed frames and counts frames truncated by the end of the connection. */
 final class CountingFrameDecoder extends LengthFieldBasedFrameDecoder {
   private final TransportCounters counters;
 
--- a/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
@@ -8,7 +8,7 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 import org.mustardlatch.wire.generated.PeerProto.Verdict;
 
-/** Messages about crashes and leaving upstreams. */
+/** Converts messages about crashes and leaving upstreams to and from the body of an envelope. */
 final class EvidenceCodec {
   private EvidenceCodec() {}
 
@@ -20,7 +20,9 @@
               .setCrashId(m.crashId())
               .addAllRunning(m.running().stream().map(EvidenceCodec::fingerprintToBytes).toList());
       case EvidenceMessage.RunRequest m ->
-          out.getRunRequestBuilder().setFingerprint(fingerprintToBytes(m.fingerprint())).setAttempt(m.attempt());
+          out.getRunRequestBuilder()
+              .setFingerprint(fingerprintToBytes(m.fingerprint()))
+              .setAttempt(m.attempt());
       case EvidenceMessage.RunPermission m ->
           out.getRunPermissionBuilder()
               .setFingerprint(fingerprintToBytes(m.fingerprint()))
@@ -52,7 +54,8 @@
               e.getRunPermission().getAttempt(),
               verdict(e.getRunPermission().getVerdict()));
       case CLEARED ->
-          new EvidenceMessage.Cleared(PeerCodec.fingerprintFromBytes(e.getCleared().getFingerprint()));
+          new EvidenceMessage.Cleared(
+              PeerCodec.fingerprintFromBytes(e.getCleared().getFingerprint()));
       case LEAVING_NOTICE ->
           new EvidenceMessage.LeavingNotice(new UpstreamId(e.getLeavingNotice().getUpstream()));
       default -> throw PeerCodec.unexpectedBody(e);
--- a/wire/src/main/java/org/mustardlatch/wire/EvidenceDeduplicator.java
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceDeduplicator.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import org.mustardlatch.core.peer.EvidenceMessage;
 
-/** Which evidence was passed on already, so that each node passes it on once. */
+/** Remembers recent evidence, so that each node forwards a message only once. */
 final class EvidenceDeduplicator {
   static final long RETENTION_NANOS = Duration.ofSeconds(60).toNanos();
   static final int MAX_ENTRIES = 4_096;
 
   private final Map<EvidenceMessage, Long> receivedAt = new LinkedHashMap<>();
 
-  /** Returns whether the message is new, and remembers it for 60 s. */
+  /** Returns whether the message is new and remembers a new message for 60 s. */
   boolean addIfNew(EvidenceMessage message, long now) {
     Iterator<Map.Entry<EvidenceMessage, Long>> oldest = receivedAt.entrySet().iterator();
     while (oldest.hasNext()) {
--- a/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.wire.generated.PeerProto;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Ledger messages. */
+/** Converts ledger messages to and from the body of an envelope. */
 final class LedgerCodec {
   private LedgerCodec() {}
 
--- a/wire/src/main/java/org/mustardlatch/wire/Link.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Link.java
@@ -5,7 +5,10 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** The way to one peer: at most one connection in use, and the messages that wait for it. */
+/**
+ * Outbound queue and current connection of one peer. Queues messages while there is no writable
+ * connection and reconnects with backoff. Thread-safe.
+ */
 final class Link {
   private record QueuedMessage(PeerMessage message, long queuedAtNanos) {}
 
@@ -25,7 +28,7 @@
     this.retryAtNanos = System.nanoTime();
   }
 
-  /** Returns the host that must answer; null when any may, for example at a seed's address. */
+  /** Returns the host that the peer must be; null if any host is allowed, as at a seed address. */
   @Nullable HostId host() {
     return host;
   }
@@ -42,7 +45,7 @@
     return queue.size();
   }
 
-  /** Sends or queues a message; opens a connection when there is none. */
+  /** Sends or queues a message and opens a connection if there is none. */
   synchronized void send(@Nullable String newAddress, PeerMessage message) {
     if (newAddress != null) {
       address = newAddress;
@@ -60,7 +63,7 @@
     flushOrConnect();
   }
 
-  /** Sends what waits or opens a connection, whatever is possible now. */
+  /** Sends queued messages, or opens a connection if there is none and the backoff has passed. */
   synchronized void flushOrConnect() {
     dropExpired();
     PeerChannel c = currentChannel;
@@ -73,14 +76,14 @@
     }
   }
 
-  /** Opens a connection when messages wait for one and the backoff has passed. */
+  /** Sends queued messages or opens a connection for them; does nothing if the queue is empty. */
   synchronized void retryQueued() {
     if (!queue.isEmpty()) {
       flushOrConnect();
     }
   }
 
-  /** Uses this connection from now on; the newest one wins. */
+  /** Makes this connection the current one; the newest connection replaces an earlier one. */
   synchronized void attach(PeerChannel channel) {
     currentChannel = channel;
     connecting = false;
@@ -88,7 +91,7 @@
     flushOrConnect();
   }
 
-  /** A connection of this link was refused. */
+  /** Handles the refusal of a connection of this link and starts the backoff. */
   synchronized void connectionRefused(PeerChannel channel) {
     if (currentChannel == channel) {
       currentChannel = null;
@@ -117,7 +120,7 @@
     }
   }
 
-  /** The connection in use went silent; a fresh one is opened at once. */
+  /** Replaces the current connection without backoff because its peer is silent. */
   synchronized void connectionSilent(PeerChannel channel) {
     if (currentChannel == channel) {
       currentChannel = null;
@@ -127,17 +130,19 @@
     }
   }
 
-  /** A frame of the peer arrived. */
+  /** Resets the silence timeout because the peer sent a frame. */
   synchronized void frameReceived() {
     consecutiveSilences = 0;
   }
 
   /**
-   * Returns how long a connection may be silent. Doubles with each connection that was replaced in
-   * vain, because handshakes with a peer that is merely slow make it slower.
+   * Returns how long a connection may be silent, in nanoseconds. The time doubles with each
+   * new connection that stays silent too, because the handshakes of new connections slow down a
+   * peer that is slow but alive.
    */
   synchronized long silenceTimeoutNanos() {
-    return TransportLimits.SILENCE_TIMEOUT_NANOS << Math.min(consecutiveSilences, TransportLimits.MAX_SILENCE_TIMEOUT_DOUBLINGS);
+    return TransportLimits.SILENCE_TIMEOUT_NANOS
+        << Math.min(consecutiveSilences, TransportLimits.MAX_SILENCE_TIMEOUT_DOUBLINGS);
   }
 
   private void connectAfterBackoff() {
--- a/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
@@ -9,7 +9,7 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 import org.mustardlatch.wire.generated.PeerProto.NodeState;
 
-/** Membership messages. */
+/** Converts membership messages to and from the body of an envelope. */
 final class MembershipCodec {
   private MembershipCodec() {}
 
@@ -27,7 +27,9 @@
               .addAllRumors(encodeRumors(m.rumors()));
       case MembershipMessage.Join m -> out.getJoinBuilder().setSelf(rumor(m.self()));
       case MembershipMessage.View m ->
-          out.getViewBuilder().addAllRumors(encodeRumors(m.rumors())).setReplyWanted(m.replyRequested());
+          out.getViewBuilder()
+              .addAllRumors(encodeRumors(m.rumors()))
+              .setReplyWanted(m.replyRequested());
       case MembershipMessage.Suspicion m ->
           out.getSuspicionBuilder()
               .setHost(m.host().value())
--- a/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
+++ b/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
@@ -18,7 +18,10 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 import org.mustardlatch.core.routing.Member;
 
-/** The shared budgets of one node, as owner and as client. */
+/**
+ * The shared budgets of one region on one node, which grants leases as an owner and requests them
+ * as a client. Called by the tasks of {@link PeerNode} only.
+ */
 final class NodeBudgets {
   private final RegionId region;
   private final BudgetOwner owner;
@@ -57,7 +60,7 @@
     }
   }
 
-  /** Does nothing unless spends wait. */
+  /** Advances the requests for units that wait for a lease; does nothing if there are none. */
   void tick(long now) {
     if (client.hasWaitingSpends()) {
       client.tick(now, this::execute);
--- a/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
@@ -19,8 +19,8 @@
 import org.mustardlatch.wire.generated.PeerProto.Pong;
 
 /**
- * One connection: identity, sequence numbers, pings. Its fields are confined to the event loop,
- * except for the volatile ones.
+ * Handler of one connection: verifies the identity of the peer and the sequence numbers of frames,
+ * and sends pings. Fields that are not volatile are confined to the event loop.
  */
 final class PeerChannel extends SimpleChannelInboundHandler<Envelope> {
   private final PeerTransport transport;
@@ -52,7 +52,7 @@
     return accepted;
   }
 
-  /** Returns the peer that the connection belongs to, or null while it is not known. */
+  /** Returns the peer of the connection, or null until it is identified. */
   @Nullable HostId host() {
     return host;
   }
@@ -123,7 +123,7 @@
     context.fireUserEventTriggered(event);
   }
 
-  /** The connection can carry frames. */
+  /** Attaches an outbound connection to its link once it can carry frames, after the handshake. */
   private void connectionReady() {
     if (opener == null) {
       return;
@@ -181,7 +181,7 @@
     transport.deliver(from, envelope.getIncarnation(), message);
   }
 
-  /** Returns the sender, or null when the frame was refused. */
+  /** Returns the sender of a valid frame; refuses other frames and returns null. */
   private @Nullable HostId validatedSender(Envelope envelope) {
     if (envelope.getSequence() != lastReceivedSequence + 1) {
       refuse(FrameRefusal.REPLAYED);
@@ -245,7 +245,14 @@
     context.fireChannelInactive();
   }
 
-  /** Sends pings and closes silent, unused and unidentified connections. Runs on the event loop. */
+  /**
+   * Sends a ping if one is necessary and closes the connection if it is silent, unused or
+   * unidentified. Runs on the event loop.
+   *
+   * @param now current time, nanoseconds
+   * @param delayed whether this check runs so late that the process was probably paused; the
+   *     silence timeout then starts again
+   */
   void checkLiveness(long now, boolean delayed) {
     Channel c = channel;
     if (c == null || !c.isActive()) {
@@ -287,13 +294,13 @@
     }
   }
 
-  /** A failure to close needs no action: the connection is gone either way. */
+  /** Ignores a failure to close because the connection is unusable in either case. */
   @SuppressWarnings("FutureReturnValueIgnored")
   private static void close(Channel c) {
     c.close();
   }
 
-  /** A failure to write reaches {@link #exceptionCaught} through the void promise. */
+  /** Writes a frame. The void promise reports a failure to {@link #exceptionCaught}. */
   @SuppressWarnings("FutureReturnValueIgnored")
   private void write(Channel c, Envelope.Builder envelope) {
     envelope
--- a/wire/src/main/java/org/mustardlatch/wire/PeerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerCodec.java
@@ -12,7 +12,7 @@
 import org.mustardlatch.core.peer.RolloutMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Converts peer messages to and from the body of an envelope. */
+/** Converts peer messages to and from the body of a protobuf envelope. */
 public final class PeerCodec {
   private PeerCodec() {}
 
@@ -29,10 +29,10 @@
   }
 
   /**
-   * Returns the message in an envelope.
+   * Returns the message of an envelope.
    *
-   * @throws IllegalArgumentException when the body is missing, is a ping or pong, or holds a value
-   *     that the message does not allow
+   * @throws IllegalArgumentException if the body is missing, is a ping or pong, or contains a value
+   *     that is not valid for the message
    */
   public static PeerMessage decode(Envelope envelope) {
     return switch (envelope.getBodyCase()) {
--- a/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
@@ -3,15 +3,15 @@
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** Receives the messages of other nodes. */
+/** Receives the messages that other nodes send to a {@link PeerTransport}. */
 @FunctionalInterface
 public interface PeerListener {
   /**
-   * A message arrived. Called on a network thread, must not block.
+   * Handles a message. Called on a network thread; must not block.
    *
-   * @param from sender; with TLS it is a name in the sender's certificate
+   * @param from sender; with TLS, its certificate contains this name
    * @param incarnation incarnation of the sender when it sent the message
-   * @param message the message
+   * @param message the decoded message
    */
   void messageReceived(HostId from, long incarnation, PeerMessage message);
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -35,9 +35,9 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * One node among its peers: transport, membership, spread of the manifest and shared budgets. Its
- * state is touched by one task at a time; tasks come from network threads, the timer service and
- * callers.
+ * A node in the network of peers. Combines the transport with membership, distribution of the
+ * manifest, forwarding of crash evidence and shared budgets. Methods may be called on any thread:
+ * network threads, the timer service and callers submit tasks, which run one at a time.
  */
 public final class PeerNode {
   private static final long DUMP_TIMEOUT_MILLIS = 2_000;
@@ -87,9 +87,9 @@
   }
 
   /**
-   * Starts to listen and to join.
+   * Starts to listen for peers and to join the fleet.
    *
-   * @return the address in use
+   * @return the bound address
    */
   public InetSocketAddress start() {
     taskSubscription = tasks.subscribe(this::runTask, listener::unexpectedError);
@@ -106,12 +106,12 @@
     return bound;
   }
 
-  /** Tells the neighbours that this node is about to stop. */
+  /** Notifies the neighbours that this node is about to stop. */
   public void leave() {
     tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.LeaveRequested()));
   }
 
-  /** Stops without telling anybody; see {@link #leave}. */
+  /** Stops without notifying other nodes; call {@link #leave} first to notify them. */
   public void stop() {
     if (tickSubscription != null) {
       tickSubscription.cancel();
@@ -125,27 +125,27 @@
     }
   }
 
-  /** Sends a message; one to this node itself is delivered to the listener. */
+  /** Sends a message to a node; a message to this node itself is delivered locally. */
   public void send(HostId to, PeerMessage message) {
     tasks.onNext(() -> sendNow(to, message));
   }
 
-  /** Spreads evidence to all nodes along the overlay; this node's listener does not receive it. */
+  /** Sends evidence to all other nodes, which forward it along the overlay of neighbours. */
   public void broadcast(EvidenceMessage message) {
     tasks.onNext(() -> forwardIfNew(options.host(), message));
   }
 
-  /** The object service lists these peer addresses. */
+  /** Reports the peer addresses that the object service lists. */
   public void nodesListed(List<String> addresses) {
     tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.NodesListed(addresses)));
   }
 
-  /** The object service holds this revision; 0 with empty text when it holds none. */
+  /** Reports the manifest in the object service; revision 0 with empty text if there is none. */
   public void manifestStored(long storedRevision, String text) {
     tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.StoreRead(storedRevision, text)));
   }
 
-  /** This node stored a revision for an operator. */
+  /** Reports that this node stored a manifest revision for an operator. */
   public void manifestPublished(long publishedRevision, String text) {
     tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.Published(publishedRevision, text)));
   }
@@ -159,17 +159,17 @@
   }
 
   /**
-   * Spends units of a shared budget.
+   * Acquires units of a shared budget.
    *
-   * @param units units to take, greater than 0
-   * @param result called once, within {@link BudgetClient#MAX_WAIT} or a tick later, with whether
-   *     the units were granted; must not block
+   * @param units units to acquire, greater than 0
+   * @param result called once with whether the units were granted, after at most {@link
+   *     BudgetClient#MAX_WAIT} and one tick; must not block
    */
   public void spend(String budget, double units, Consumer<Boolean> result) {
     tasks.onNext(() -> budgets.spend(budget, units, timers.nanos(), result));
   }
 
-  /** Returns the current incarnation. */
+  /** Returns the current incarnation of this node. */
   public long incarnation() {
     return incarnation;
   }
@@ -179,12 +179,12 @@
     return members;
   }
 
-  /** Returns the manifest revision in force; 0 for none. */
+  /** Returns the active manifest revision; 0 if there is none. */
   public long activeRevision() {
     return activeRevision;
   }
 
-  /** Returns whether the manifest in force is recent enough to serve requests. */
+  /** Returns whether the active manifest is recent enough to serve requests. */
   public boolean configurationReady() {
     return configurationReady;
   }
@@ -199,7 +199,10 @@
     return transport.connectionCount();
   }
 
-  /** Returns the state for a dump. Must not be called by the listener. */
+  /**
+   * Returns the state for a diagnostic dump. Must not be called by the listener, because it waits
+   * for a task and the listener is called within one.
+   */
   public Map<String, Object> dump() {
     CompletableFuture<Map<String, Object>> dump = new CompletableFuture<>();
     tasks.onNext(() -> dump.complete(dumpNow()));
@@ -290,7 +293,7 @@
     }
   }
 
-  /** Sends new evidence to all neighbours but its sender; returns whether it is new. */
+  /** Sends new evidence to all neighbours except its sender; returns whether it is new. */
   private boolean forwardIfNew(HostId from, EvidenceMessage message) {
     Membership m = membership;
     if (m == null || !evidenceDeduplicator.addIfNew(message, timers.nanos())) {
@@ -371,7 +374,7 @@
   }
 
   private void applyManifest(long newRevision, String text) {
-    // The result is a task of its own, because the rollout is in the middle of an event.
+    // The result is handled in a separate task, because the rollout is still handling an event.
     if (listener.applyManifest(newRevision, text)) {
       activeRevision = newRevision;
       tasks.onNext(
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNodeListener.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNodeListener.java
@@ -5,39 +5,40 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /**
- * Receives what a {@link PeerNode} finds. Calls are made one after another, on a network or timer
- * thread, and must not block.
+ * Receives the events of a {@link PeerNode}. Calls are made one at a time, on the thread that runs
+ * the node's task (a network, timer or caller thread), and must not block.
  */
 public interface PeerNodeListener {
-  /** The live nodes changed. */
+  /** Called when the list of live nodes changes. */
   void membersChanged(MemberList list);
 
-  /** A node is suspected to be dead. */
+  /** Called when a node is suspected to be dead. */
   void nodeSuspected(HostId host);
 
   /**
-   * This node may have been declared dead; attempts of earlier incarnations are void.
+   * Called when other nodes may have declared this node dead; attempts of its earlier incarnations
+   * are no longer valid.
    *
-   * @param incarnation the incarnation from now on
-   * @param pausedNanos length of the pause, nanoseconds; 0 when there was none
+   * @param incarnation the new incarnation of this node
+   * @param pausedNanos length of the pause, nanoseconds; 0 if there was none
    */
   void fenced(long incarnation, long pausedNanos);
 
-  /** Puts a manifest revision into force; returns false when it can't be used. */
+  /** Activates a manifest revision; returns false if it can't be used. */
   boolean applyManifest(long revision, String text);
 
-  /** A revision that this node published is in force on enough nodes. */
+  /** Called when a revision that this node published is active on enough nodes. */
   void manifestAccepted(long revision);
 
-  /** Whether this node must hold a watch on the manifest in the object service changed. */
+  /** Called when this node must start or stop to watch the manifest in the object service. */
   void manifestWatchChanged(boolean watch);
 
-  /** The node has a manifest that is recent enough to serve requests. */
+  /** Called when the node has a manifest that is recent enough to serve requests. */
   void configurationReady(long revision);
 
-  /** An admission, evidence or ledger message arrived. */
+  /** Handles an admission, evidence or ledger message. */
   void messageReceived(HostId from, long incarnation, PeerMessage message);
 
-  /** A fault in the program. */
+  /** Handles an exception that indicates a programming error. */
   void unexpectedError(Throwable error);
 }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
@@ -35,9 +35,11 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
 /**
- * Carries messages between nodes over TCP: length-prefixed protobuf frames, with mutual TLS unless
- * the node listens on loopback only. Delivery is not guaranteed; a message is lost when its
- * connection breaks or its queue overflows. Messages over one connection keep their order.
+ * Sends and receives messages between nodes over TCP, as length-prefixed protobuf frames. It uses
+ * mutual TLS unless the node listens on loopback only or its network is private. Delivery is not
+ * guaranteed: a message is lost if its connection breaks, if its queue overflows or if it waits too
+ * long in the queue. Messages over one connection keep their order. Methods may be called on any
+ * thread; the listener is called on event loop threads.
  */
 public final class PeerTransport {
   private final PeerTransportOptions options;
@@ -60,9 +62,10 @@
   /**
    * Creates a transport; it does nothing before {@link #start}.
    *
-   * @param listener receives messages
-   * @param errorHandler receives errors that point to a fault in the program
-   * @throws MustardlatchException with code {@code SETTINGS_INVALID} when TLS files are not usable
+   * @param listener receives the messages of other nodes
+   * @param errorHandler receives exceptions that indicate a programming error
+   * @throws MustardlatchException with code {@code SETTINGS_INVALID} if the TLS files are not
+   *     usable
    */
   public PeerTransport(
       PeerTransportOptions options, PeerListener listener, Consumer<Throwable> errorHandler) {
@@ -73,11 +76,10 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts to listen for connections of other nodes.
    *
-   * @return the address in use, with the port that was chosen
-   * @throws MustardlatchException with code {@code SETTINGS_INVALID} when the address can't be
-   *     bound
+   * @return the bound address, with the actual port
+   * @throws MustardlatchException with code {@code SETTINGS_INVALID} if the address can't be bound
    */
   public InetSocketAddress start() {
     EventLoopGroup g = options.group();
@@ -103,11 +105,13 @@
     server = bound.channel();
     lastCheckNanos = System.nanoTime();
     long period = TransportLimits.CHECK_PERIOD.toMillis();
-    connectionCheck = g.next().scheduleWithFixedDelay(this::checkConnections, period, period, TimeUnit.MILLISECONDS);
+    connectionCheck =
+        g.next()
+            .scheduleWithFixedDelay(this::checkConnections, period, period, TimeUnit.MILLISECONDS);
     return (InetSocketAddress) bound.channel().localAddress();
   }
 
-  /** Closes all connections. Messages that wait are lost. */
+  /** Closes all connections. Queued messages are lost. */
   public void stop() {
     stopped = true;
     if (connectionCheck != null) {
@@ -123,9 +127,10 @@
   }
 
   /**
-   * Sends a message to a host. Opens a connection when there is none.
+   * Sends a message to a host and opens a connection if there is none.
    *
-   * @param address host and port of its listener; null to use only what is known already
+   * @param address host and port of its listener; null to use the open connection or the address of
+   *     an earlier call
    */
   public void send(HostId to, @Nullable String address, PeerMessage message) {
     if (!stopped && !to.equals(options.host())) {
@@ -133,14 +138,14 @@
     }
   }
 
-  /** Sends a message to whichever host listens on an address, for example that of a seed. */
+  /** Sends a message to the node that listens on an address, for example a seed of unknown name. */
   public void sendToAddress(String address, PeerMessage message) {
     if (!stopped) {
       linksByAddress.computeIfAbsent(address, a -> new Link(this, null)).send(address, message);
     }
   }
 
-  /** Closes the connection to a host that is gone and drops what waits for it. */
+  /** Closes the connections to a dead or removed host and drops the messages queued for it. */
   public void removeHost(HostId host) {
     linksByHost.remove(host);
     for (PeerChannel c : channels) {
@@ -150,17 +155,17 @@
     }
   }
 
-  /** Returns the counters. */
+  /** Returns the traffic, connection and refusal counters. */
   public TransportCounters counters() {
     return counters;
   }
 
-  /** Returns the number of open connections, opened and accepted ones. */
+  /** Returns the number of open connections, both outbound and accepted. */
   public int connectionCount() {
     return channels.size();
   }
 
-  /** Returns the state for a dump: connections and queues by peer. */
+  /** Returns the state for a diagnostic dump: connections and queues by peer. */
   public Map<String, Object> dump() {
     Map<String, Object> links = new LinkedHashMap<>();
     linksByHost.forEach(
@@ -195,7 +200,7 @@
     errorHandler.accept(error);
   }
 
-  /** Returns a time between a half and the whole of the backoff. */
+  /** Returns a random delay between half of the backoff and all of it. */
   long jitteredBackoff(long backoffNanos) {
     return backoffNanos / 2 + ThreadLocalRandom.current().nextLong(backoffNanos / 2 + 1);
   }
@@ -235,7 +240,7 @@
     }
   }
 
-  /** The first frame of a connection named its sender. */
+  /** Attaches a connection to the link of its peer after the first frame named the peer. */
   void peerIdentified(PeerChannel channel, HostId from) {
     linksByHost.computeIfAbsent(from, h -> new Link(this, h)).attach(channel);
   }
@@ -309,7 +314,9 @@
           SslHandler ssl =
               target == null
                   ? tlsContexts.server().newHandler(channel.alloc())
-                  : tlsContexts.client().newHandler(channel.alloc(), target.getHost(), target.getPort());
+                  : tlsContexts
+                      .client()
+                      .newHandler(channel.alloc(), target.getHost(), target.getPort());
           ssl.setHandshakeTimeoutMillis(TransportLimits.HANDSHAKE_TIMEOUT_MILLIS);
           p.addLast(ssl);
         }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerTransportOptions.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerTransportOptions.java
@@ -7,14 +7,14 @@
 import org.mustardlatch.core.model.HostId;
 
 /**
- * Options of a transport.
+ * Options of a {@link PeerTransport}.
  *
  * @param host this node
- * @param incarnation gives the current incarnation of this node
- * @param bind address to listen on; port 0 chooses a free one
+ * @param incarnation returns the current incarnation of this node
+ * @param bind address to listen on; port 0 selects a free port
  * @param tls files for mutual TLS; null for plain connections, only when {@code bind} is loopback
- * @param group threads to share with other transports; null to own one thread
- * @param privateNetwork whether plain connections may leave the host
+ * @param group event loops to share with other transports; null to create one event loop thread
+ * @param privateNetwork whether plain connections to other hosts are allowed
  */
 public record PeerTransportOptions(
     HostId host,
@@ -23,7 +23,12 @@
     @Nullable TlsFiles tls,
     @Nullable EventLoopGroup group,
     boolean privateNetwork) {
-  /** Checks that plain connections stay on loopback; throws IllegalArgumentException otherwise. */
+  /**
+   * Validates the bind address.
+   *
+   * @throws IllegalArgumentException if {@code bind} is unresolved, or if it is not loopback
+   *     although there is neither TLS nor a private network
+   */
   public PeerTransportOptions {
     if (bind.isUnresolved()) {
       throw new IllegalArgumentException("peer address " + bind + " does not resolve");
@@ -34,7 +39,7 @@
     }
   }
 
-  /** Creates options of a transport whose connections leave the host only with TLS. */
+  /** Creates options of a transport that connects to other hosts only with TLS. */
   public PeerTransportOptions(
       HostId host,
       LongSupplier incarnation,
--- a/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
@@ -3,7 +3,7 @@
 import org.mustardlatch.core.peer.RolloutMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Configuration messages. */
+/** Converts messages about manifest revisions to and from the body of an envelope. */
 final class RolloutCodec {
   private RolloutCodec() {}
 
--- a/wire/src/main/java/org/mustardlatch/wire/SocketByteCounter.java
+++ b/wire/src/main/java/org/mustardlatch/wire/SocketByteCounter.java
@@ -6,7 +6,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts the bytes on the socket, next to it in the pipeline. */
+/** Counts the bytes on the socket, as the first handler of the pipeline. */
 @Sharable
 final class SocketByteCounter extends ChannelDuplexHandler {
   private final TransportCounters counters;
@@ -23,7 +23,7 @@
     context.fireChannelRead(message);
   }
 
-  /** The promise reports failures to its owner. */
+  /** Counts and writes the bytes. The promise reports a failure to the caller. */
   @Override
   @SuppressWarnings("FutureReturnValueIgnored")
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
--- a/wire/src/main/java/org/mustardlatch/wire/TlsContexts.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TlsContexts.java
@@ -8,13 +8,19 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** TLS contexts of one node, for connections that it opens and that it accepts. */
+/**
+ * TLS contexts of one node.
+ *
+ * @param client context of the connections that the node opens
+ * @param server context of the connections that the node accepts
+ */
 record TlsContexts(SslContext client, SslContext server) {
   private static final String PROTOCOL = "TLSv1.3";
 
   static TlsContexts load(TlsFiles files) {
     try {
-      // Certificates name hosts, not addresses; CertificateNames checks them after the handshake.
+      // Certificates contain host names, not addresses; PeerChannel checks the names after the
+      // handshake.
       SslContext client =
           SslContextBuilder.forClient()
               .keyManager(files.certificate().toFile(), files.key().toFile())
--- a/wire/src/main/java/org/mustardlatch/wire/TlsFiles.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TlsFiles.java
@@ -5,9 +5,9 @@
 /**
  * PEM files for mutual TLS.
  *
- * @param certificate certificate chain of this node; a subject alternative name or the common name
- *     is its host name
- * @param key private key in PKCS #8, not encrypted
- * @param ca certificates that sign the nodes of the fleet
+ * @param certificate certificate chain of this node; its host name is a subject alternative name or
+ *     the common name
+ * @param key unencrypted private key in PKCS #8 format
+ * @param ca certificates of the authorities that sign the certificates of the nodes
  */
 public record TlsFiles(Path certificate, Path key, Path ca) {}
--- a/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of a transport since its start. Safe for use by several threads. */
+/** Counters of a transport since its start. Thread-safe. */
 public final class TransportCounters {
   final LongAdder framesSent = new LongAdder();
   final LongAdder framesReceived = new LongAdder();
@@ -26,12 +26,12 @@
     refusalCount.incrementAndGet(reason);
   }
 
-  /** Returns how many frames or connections were refused for this reason. */
+  /** Returns the number of frames and connections refused for this reason. */
   public long refusalCount(FrameRefusal reason) {
     return refusalCount.get(reason);
   }
 
-  /** Returns all counts by name. Bytes are those on the socket, with TLS and without TCP/IP. */
+  /** Returns all counters by name. Byte counts include TLS but not TCP/IP headers. */
   public Map<String, Long> snapshot() {
     Map<String, Long> all = new LinkedHashMap<>();
     all.put("frames_sent", framesSent.sum());
--- a/wire/src/test/java/org/mustardlatch/wire/PeerCodecTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerCodecTest.java
@@ -30,7 +30,7 @@
 import org.mustardlatch.core.peer.RolloutMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Guards against messages, or fields of them, that are lost on the wire. */
+/** Guards against messages or fields that the codec does not transfer. */
 class PeerCodecTest {
   private static final AttemptId ATTEMPT = new AttemptId(new RequestId("r-1"), 2);
   private static final Fingerprint FINGERPRINT = new Fingerprint("0123456789abcdef".repeat(4));
@@ -129,7 +129,9 @@
     }
   }
 
-  /** Fails when a record is added to core.peer without a mapping and a sample here. */
+  /**
+   * Fails if a message record is added to core.peer without a mapping and a sample in this test.
+   */
   @Test
   void everyRecordOfTheSealedInterfaceHasASample() {
     assertThat(samples().stream().map(Object::getClass).distinct().toList())
@@ -137,17 +139,17 @@
   }
 
   @Test
-  void anEnvelopeWithoutMessageIsRefused() {
+  void anEnvelopeWithoutMessageIsRejected() {
     assertThrows(
         IllegalArgumentException.class, () -> PeerCodec.decode(Envelope.getDefaultInstance()));
   }
 
-  /** Guards against a small frame that expands to fill the heap. */
+  /** Guards against a small compressed frame whose text fills the heap. */
   @Test
-  void aManifestThatExpandsWithoutBoundIsRefused() {
-    String large = "x".repeat(Compression.MAX_TEXT_BYTES + 1);
+  void aManifestThatExpandsBeyondTheLimitIsRejected() {
+    String oversized = "x".repeat(Compression.MAX_TEXT_BYTES + 1);
     Envelope.Builder b = Envelope.newBuilder();
-    PeerCodec.encode(new RolloutMessage.ConfigBody(1, large), b);
+    PeerCodec.encode(new RolloutMessage.ConfigBody(1, oversized), b);
     assertThrows(IllegalArgumentException.class, () -> PeerCodec.decode(b.build()));
   }
 
--- a/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
@@ -24,12 +24,12 @@
 import org.mustardlatch.core.peer.EvidenceMessage;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** Guards the wiring of transport, membership and rollout over real sockets. */
+/** Tests transport, membership, manifest rollout and budgets together over real sockets. */
 class PeerNodeTest {
   private static final class Recorder implements PeerNodeListener {
     final ConcurrentLinkedQueue<PeerMessage> received = new ConcurrentLinkedQueue<>();
     final ConcurrentLinkedQueue<Throwable> errors = new ConcurrentLinkedQueue<>();
-    volatile long accepted;
+    volatile long acceptedRevision;
 
     @Override
     public void membersChanged(MemberList list) {}
@@ -47,7 +47,7 @@
 
     @Override
     public void manifestAccepted(long revision) {
-      accepted = revision;
+      acceptedRevision = revision;
     }
 
     @Override
@@ -101,9 +101,9 @@
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    CountDownLatch never = new CountDownLatch(1);
+    CountDownLatch neverReleased = new CountDownLatch(1);
     for (int i = 0; i < 4_000 && !condition.getAsBoolean(); i++) {
-      assertThat(never.await(10, TimeUnit.MILLISECONDS)).isFalse();
+      assertThat(neverReleased.await(10, TimeUnit.MILLISECONDS)).isFalse();
     }
     assertThat(condition.getAsBoolean()).isTrue();
   }
@@ -118,7 +118,7 @@
     await(() -> nodes.stream().allMatch(n -> n.members().members().size() == 5));
     nodes.get(3).manifestPublished(1, "one");
     await(() -> nodes.stream().allMatch(n -> n.activeRevision() == 1 && n.configurationReady()));
-    await(() -> recorders.get(3).accepted == 1);
+    await(() -> recorders.get(3).acceptedRevision == 1);
     EvidenceMessage notice = new EvidenceMessage.LeavingNotice(new UpstreamId("u"));
     nodes.get(1).broadcast(notice);
     await(() -> recorders.stream().filter(r -> r.received.contains(notice)).count() == 4);
--- a/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
@@ -27,7 +27,7 @@
 import org.mustardlatch.core.peer.RolloutMessage.ConfigFetch;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Guards against strangers, damaged frames and connections that go silent. */
+/** Tests refusal of untrusted peers and invalid frames, reconnection and queue limits. */
 class PeerTransportTest {
   private static final HostId A = new HostId("a");
   private static final HostId B = new HostId("b");
@@ -72,9 +72,9 @@
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    CountDownLatch never = new CountDownLatch(1);
+    CountDownLatch neverReleased = new CountDownLatch(1);
     for (int i = 0; i < 2_000 && !condition.getAsBoolean(); i++) {
-      assertThat(never.await(10, TimeUnit.MILLISECONDS)).isFalse();
+      assertThat(neverReleased.await(10, TimeUnit.MILLISECONDS)).isFalse();
     }
     assertThat(condition.getAsBoolean()).isTrue();
   }
@@ -91,8 +91,8 @@
     PeerTransport a = transport(A, null, 0);
     PeerTransport b = transport(B, null, 0);
     start(a);
-    InetSocketAddress atB = start(b);
-    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    InetSocketAddress addressOfB = start(b);
+    a.send(B, hostAndPort(addressOfB), new ConfigFetch(1));
     assertThat(nextMessage()).isEqualTo(new Inbound(A, 7, new ConfigFetch(1)));
     b.send(A, null, new ConfigBody(1, "x".repeat(1_000_000)));
     assertThat(nextMessage().message()).isEqualTo(new ConfigBody(1, "x".repeat(1_000_000)));
@@ -111,8 +111,8 @@
   void peersWithCertificatesOfTheSameAuthorityExchangeMessages() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     start(transport(A, ca.issue("a"), 0));
-    InetSocketAddress atB = start(transport(B, ca.issue("b"), 0));
-    startedTransports.get(0).sendToAddress(hostAndPort(atB), new ConfigFetch(1));
+    InetSocketAddress addressOfB = start(transport(B, ca.issue("b"), 0));
+    startedTransports.get(0).sendToAddress(hostAndPort(addressOfB), new ConfigFetch(1));
     assertThat(nextMessage().from()).isEqualTo(A);
     startedTransports.get(1).send(A, null, new ConfigFetch(2));
     assertThat(nextMessage().from()).isEqualTo(B);
@@ -122,12 +122,12 @@
   void aCertificateOfAnotherAuthorityIsRefusedAndCounted() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     PeerTransport b = transport(B, ca.issue("b"), 0);
-    InetSocketAddress atB = start(b);
-    TlsFiles own = new TestCertificates(directory, "stranger").issue("a");
-    TlsFiles stranger = new TlsFiles(own.certificate(), own.key(), ca.issue("c").ca());
-    PeerTransport a = transport(A, stranger, 0);
+    InetSocketAddress addressOfB = start(b);
+    TlsFiles untrusted = new TestCertificates(directory, "stranger").issue("a");
+    TlsFiles tls = new TlsFiles(untrusted.certificate(), untrusted.key(), ca.issue("c").ca());
+    PeerTransport a = transport(A, tls, 0);
     start(a);
-    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    a.send(B, hostAndPort(addressOfB), new ConfigFetch(1));
     await(() -> b.counters().refusalCount(FrameRefusal.STRANGER) > 0);
     assertThat(inbox).isEmpty();
   }
@@ -136,10 +136,10 @@
   void aHostNotNamedInItsCertificateIsRefused() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
     PeerTransport b = transport(B, ca.issue("b"), 0);
-    InetSocketAddress atB = start(b);
+    InetSocketAddress addressOfB = start(b);
     PeerTransport a = transport(A, ca.issue("other"), 0);
     start(a);
-    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    a.send(B, hostAndPort(addressOfB), new ConfigFetch(1));
     await(() -> b.counters().refusalCount(FrameRefusal.HOST_MISMATCH) > 0);
     assertThat(inbox).isEmpty();
   }
@@ -147,10 +147,10 @@
   @Test
   void aServerThatIsNotTheExpectedHostReceivesNoMessage() throws Exception {
     TestCertificates ca = new TestCertificates(directory, "fleet");
-    InetSocketAddress atB = start(transport(B, ca.issue("b"), 0));
+    InetSocketAddress addressOfB = start(transport(B, ca.issue("b"), 0));
     PeerTransport a = transport(A, ca.issue("a"), 0);
     start(a);
-    a.send(new HostId("c"), hostAndPort(atB), new ConfigFetch(1));
+    a.send(new HostId("c"), hostAndPort(addressOfB), new ConfigFetch(1));
     await(() -> a.counters().refusalCount(FrameRefusal.HOST_MISMATCH) > 0);
     assertThat(inbox).isEmpty();
   }
@@ -158,32 +158,32 @@
   @Test
   void invalidFramesAreRefusedByReasonAndLaterConnectionsWork() throws Exception {
     PeerTransport b = transport(B, null, 0);
-    InetSocketAddress atB = start(b);
-    try (Socket s = connect(atB)) {
+    InetSocketAddress addressOfB = start(b);
+    try (Socket s = connect(addressOfB)) {
       DataOutputStream out = new DataOutputStream(s.getOutputStream());
       write(out, frame("a", 1));
       write(out, frame("a", 1));
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
     await(() -> b.counters().refusalCount(FrameRefusal.REPLAYED) == 1);
-    try (Socket s = connect(atB)) {
-      byte[] whole = frame("a", 1);
+    try (Socket s = connect(addressOfB)) {
+      byte[] complete = frame("a", 1);
       DataOutputStream out = new DataOutputStream(s.getOutputStream());
-      out.writeInt(whole.length);
-      out.write(whole, 0, whole.length - 1);
+      out.writeInt(complete.length);
+      out.write(complete, 0, complete.length - 1);
     }
     await(() -> b.counters().refusalCount(FrameRefusal.TRUNCATED) == 1);
-    try (Socket s = connect(atB)) {
+    try (Socket s = connect(addressOfB)) {
       new DataOutputStream(s.getOutputStream()).writeInt(TransportLimits.MAX_FRAME_BYTES + 1);
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
     await(() -> b.counters().refusalCount(FrameRefusal.OVERSIZED) == 1);
-    try (Socket s = connect(atB)) {
+    try (Socket s = connect(addressOfB)) {
       write(new DataOutputStream(s.getOutputStream()), new byte[] {1, 2, 3});
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
     await(() -> b.counters().refusalCount(FrameRefusal.MALFORMED) == 1);
-    try (Socket s = connect(atB)) {
+    try (Socket s = connect(addressOfB)) {
       write(new DataOutputStream(s.getOutputStream()), frame("b", 1));
       assertThat(s.getInputStream().read()).isEqualTo(-1);
     }
@@ -192,7 +192,7 @@
     assertThat(inbox).isEmpty();
     PeerTransport a = transport(A, null, 0);
     start(a);
-    a.send(B, hostAndPort(atB), new ConfigFetch(5));
+    a.send(B, hostAndPort(addressOfB), new ConfigFetch(5));
     assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(5));
   }
 
@@ -213,29 +213,32 @@
     PeerTransport a = transport(A, null, 0);
     start(a);
     PeerTransport b = transport(B, null, 0);
-    InetSocketAddress atB = start(b);
-    a.send(B, hostAndPort(atB), new ConfigFetch(1));
+    InetSocketAddress addressOfB = start(b);
+    a.send(B, hostAndPort(addressOfB), new ConfigFetch(1));
     assertThat(nextMessage().message()).isEqualTo(new ConfigFetch(1));
     b.stop();
-    start(transport(B, null, atB.getPort()));
+    start(transport(B, null, addressOfB.getPort()));
     PeerMessage second = new ConfigFetch(2);
     await(
         () -> {
-          a.send(B, hostAndPort(atB), second);
+          a.send(B, hostAndPort(addressOfB), second);
           return inbox.stream().anyMatch(i -> i.message().equals(second));
         });
   }
 
-  /** A connection whose peer reads nothing more must not be used until TCP gives up. */
+  /**
+   * Guards against use of a dead connection until the TCP timeout: a peer that accepts connections
+   * but never sends a frame must be replaced by a new connection.
+   */
   @Test
   void aSilentConnectionIsReplaced() throws Exception {
     PeerTransport a = transport(A, null, 0);
     start(a);
-    try (ServerSocket mute = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-      mute.setSoTimeout(20_000);
-      a.send(B, hostAndPort(loopback(mute.getLocalPort())), new ConfigFetch(1));
-      try (Socket first = mute.accept();
-          Socket second = mute.accept()) {
+    try (ServerSocket silentServer = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
+      silentServer.setSoTimeout(20_000);
+      a.send(B, hostAndPort(loopback(silentServer.getLocalPort())), new ConfigFetch(1));
+      try (Socket first = silentServer.accept();
+          Socket second = silentServer.accept()) {
         assertThat(first.isConnected()).isTrue();
         assertThat(second.isConnected()).isTrue();
       }
@@ -248,11 +251,11 @@
     PeerTransport a = transport(A, null, 0);
     start(a);
     int port;
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+    try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      port = unused.getLocalPort();
     }
-    int sent = TransportLimits.MAX_QUEUED_MESSAGES + 10;
-    for (int i = 1; i <= sent; i++) {
+    int messageCount = TransportLimits.MAX_QUEUED_MESSAGES + 10;
+    for (int i = 1; i <= messageCount; i++) {
       a.send(B, hostAndPort(loopback(port)), new ConfigFetch(i));
     }
     assertThat(a.counters().snapshot()).containsEntry("queue_drops", 10L);
--- a/wire/src/test/java/org/mustardlatch/wire/TestCertificates.java
+++ b/wire/src/test/java/org/mustardlatch/wire/TestCertificates.java
@@ -26,14 +26,14 @@
 import org.bouncycastle.operator.OperatorCreationException;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** A certificate authority that writes PEM files of hosts into a directory. */
+/** A certificate authority for tests, which writes the PEM files of hosts to a directory. */
 public final class TestCertificates {
   private final Path directory;
   private final KeyPair caKey;
   private final X500Name issuer;
   private long serial = 1;
 
-  /** Creates an authority with a key of its own. */
+  /** Creates an authority with a new key and writes its certificate. */
   public TestCertificates(Path directory, String name) {
     this.directory = directory;
     this.caKey = newKey();
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Writes certificate and key of a host, which the subject alternative name states. */
+  /** Issues a certificate with the host as subject alternative name and writes it with its key. */
   public TlsFiles issue(String host) {
     try {
       KeyPair key = newKey();
--- a/wire/src/test/java/org/mustardlatch/wire/ThreadPoolTimerService.java
+++ b/wire/src/test/java/org/mustardlatch/wire/ThreadPoolTimerService.java
@@ -8,11 +8,11 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** Timers on a thread pool, for programs and tests that run several nodes in one process. */
+/** Timer service on a thread pool, for tests and benchmarks with several nodes in one process. */
 public final class ThreadPoolTimerService implements TimerService, AutoCloseable {
   private final ScheduledThreadPoolExecutor executor;
 
-  /** Creates the pool. */
+  /** Creates a pool with the given number of threads. */
   public ThreadPoolTimerService(int threads) {
     executor = new ScheduledThreadPoolExecutor(threads);
     executor.setRemoveOnCancelPolicy(true);
@@ -29,7 +29,9 @@
     return () -> f.cancel(false);
   }
 
-  /** The first call comes after a random part of the period, so that nodes are not in step. */
+  /**
+   * Runs a task periodically, first after a random part of the period to desynchronise the nodes.
+   */
   @Override
   public TimerSubscription every(Duration period, Runnable task) {
     long first = ThreadLocalRandom.current().nextLong(period.toNanos());
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
@@ -27,9 +27,12 @@
 import org.mustardlatch.wire.PeerCodec;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Prints the size of each message on the socket, and what a manifest costs; no sockets. */
+/**
+ * Prints the size of each message on the socket, and the size, compression and parse costs of
+ * manifests. Opens no sockets.
+ */
 public final class BenchCosts {
-  /** Length prefix, and header, content type and tag of a TLS 1.3 record. */
+  /** Length prefix (4 bytes), and header, content type and tag of a TLS 1.3 record (22 bytes). */
   private static final int FRAMING_BYTES = 4 + 22;
 
   private static final int ROUNDS = 12;
@@ -39,7 +42,7 @@
   /** Runs the program. */
   public static void main(String[] arguments) {
     Reserve reserve = BenchMessages.reserve(123_456_789L);
-    Fingerprint print = reserve.fingerprint();
+    Fingerprint fingerprint = reserve.fingerprint();
     Rumor rumor =
         new Rumor(
             new HostId("oslo-a-router-117"),
@@ -60,10 +63,12 @@
             BenchMessages.release(BenchMessages.granted(reserve)),
             new BudgetLeaseRequest("workspace/workspace-217", 2.5),
             new BudgetLease("workspace/workspace-217", 2.5, 1_000_000_000L),
-            new CrashReport(engine, "oslo-a-router-117/1764000000000/12", List.of(print, print)),
+            new CrashReport(
+                engine, "oslo-a-router-117/1764000000000/12", List.of(fingerprint, fingerprint)),
             new LedgerStart(217, "0".repeat(32), "n".repeat(48), "d".repeat(64)),
-            new ConfigOffer(1_000, print.value()))) {
-      System.out.printf(Locale.ROOT, "%-22s %6d bytes%n", m.getClass().getSimpleName(), socketBytes(m));
+            new ConfigOffer(1_000, fingerprint.value()))) {
+      System.out.printf(
+          Locale.ROOT, "%-22s %6d bytes%n", m.getClass().getSimpleName(), socketBytes(m));
     }
     for (int engines : new int[] {13, 600, 4_800}) {
       measureManifest(engines);
@@ -80,7 +85,7 @@
     return b.build().getSerializedSize() + FRAMING_BYTES;
   }
 
-  /** Parses a manifest several times; the last rounds count. */
+  /** Measures a manifest; the first half of the parse rounds is warm-up and does not count. */
   private static void measureManifest(int engines) {
     String text = TargetManifest.text(engines, 1);
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -96,12 +101,13 @@
         allocated += threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
       }
     }
-    int counted = ROUNDS - ROUNDS / 2;
-    long packBefore = threads.getCurrentThreadCpuTime();
+    int measuredRounds = ROUNDS - ROUNDS / 2;
+    long compressBefore = threads.getCurrentThreadCpuTime();
     for (int i = 0; i < ROUNDS; i++) {
-      findings += socketBytes(new ConfigBody(1_000, TargetManifest.text(engines, i + 2))) < 0 ? 1 : 0;
+      findings +=
+          socketBytes(new ConfigBody(1_000, TargetManifest.text(engines, i + 2))) < 0 ? 1 : 0;
     }
-    double packed = (threads.getCurrentThreadCpuTime() - packBefore) / 1e6 / ROUNDS;
+    double compressMillis = (threads.getCurrentThreadCpuTime() - compressBefore) / 1e6 / ROUNDS;
     System.out.printf(
         Locale.ROOT,
         "manifest with %4d engines: %d bytes, %d on the socket, compress %.1f ms, parse %.1f ms,"
@@ -109,9 +115,9 @@
         engines,
         text.getBytes(StandardCharsets.UTF_8).length,
         socketBytes(new ConfigBody(1_000, text)),
-        packed,
-        cpu / 1e6 / counted,
-        allocated / 1e6 / counted,
+        compressMillis,
+        cpu / 1e6 / measuredRounds,
+        allocated / 1e6 / measuredRounds,
         findings);
   }
 }
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
@@ -23,10 +23,13 @@
 import org.mustardlatch.core.model.ZoneId;
 import org.mustardlatch.wire.PeerNode;
 import org.mustardlatch.wire.PeerNodeOptions;
-import org.mustardlatch.wire.ThreadPoolTimerService;
 import org.mustardlatch.wire.TestCertificates;
+import org.mustardlatch.wire.ThreadPoolTimerService;
 
-/** Runs one fleet and measures it. */
+/**
+ * Benchmark of a fleet of one size. Starts all nodes in this process, measures them without load,
+ * with requests and with configuration changes, and measures how fast killed nodes are detected.
+ */
 final class BenchFleet implements AutoCloseable {
   private static final int ZONES = 7;
   private static final int ZONES_OF_FIRST_REGION = 4;
@@ -130,7 +133,10 @@
     }
   }
 
-  /** Opens the connections for requests one by one; handshakes would stall the few threads. */
+  /**
+   * Opens the connections for requests one by one, because simultaneous handshakes would stall the
+   * few network threads.
+   */
   private List<List<HostId>> openConnections() throws InterruptedException {
     List<List<HostId>> targets = new ArrayList<>();
     for (int i = 0; i < size; i++) {
@@ -146,20 +152,20 @@
     return targets;
   }
 
-  /** Each node asks other nodes of its region for reservations, as an entry node does. */
+  /** Sends reservation requests from each node to nodes of its region, as an entry node does. */
   private void sendRequests(List<List<HostId>> targets) throws InterruptedException {
     int rounds = options.steadySeconds * ROUNDS_PER_SECOND;
     long start = System.nanoTime();
     for (int round = 1; round <= rounds; round++) {
       for (int i = 0; i < size; i++) {
-        List<HostId> of = targets.get(i);
+        List<HostId> hosts = targets.get(i);
         for (int k = 0; k < options.requestsPerSecond / ROUNDS_PER_SECOND; k++) {
-          HostId to = of.get(random.nextInt(of.size()));
+          HostId to = hosts.get(random.nextInt(hosts.size()));
           nodes.get(i).send(to, BenchMessages.reserve(random.nextLong(1L << 40)));
         }
       }
-      long due = start + round * (TimeUnit.SECONDS.toNanos(1) / ROUNDS_PER_SECOND);
-      pause(Math.max(0, (due - System.nanoTime()) / 1_000_000));
+      long roundEndNanos = start + round * (TimeUnit.SECONDS.toNanos(1) / ROUNDS_PER_SECOND);
+      pause(Math.max(0, (roundEndNanos - System.nanoTime()) / 1_000_000));
     }
   }
 
@@ -195,12 +201,12 @@
       HostId host = new HostId("n" + victim);
       PeerNode node = nodes.remove(victim);
       recorders.remove(victim);
-      long killed = System.nanoTime();
+      long killedNanos = System.nanoTime();
       node.stop();
       await("kill", () -> recorders.stream().noneMatch(r -> r.hasMember(host)));
       for (RecordingListener r : recorders) {
         detectionMillis.recordValue(
-            Math.min(MAX_MILLIS, Math.max(0, r.membersChangedNanos - killed) / 1_000_000));
+            Math.min(MAX_MILLIS, Math.max(0, r.membersChangedNanos - killedNanos) / 1_000_000));
       }
     }
   }
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchMessages.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchMessages.java
@@ -13,16 +13,14 @@
 import org.mustardlatch.core.peer.AdmissionMessage.Reserve;
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveGranted;
 
-/**
- * The messages of one request between entry node and admitting node, with names of usual length.
- */
+/** Messages of one request between entry node and admitting node, with names of typical length. */
 final class BenchMessages {
   private static final String CELL = "r0/label-large/117";
   private static final CellSummary SUMMARY = new CellSummary(CELL, 31, 45_000_000L);
 
   private BenchMessages() {}
 
-  /** Returns a request with the hashes of eight prefix blocks. */
+  /** Returns a reservation request with the hashes of eight prefix blocks. */
   static Reserve reserve(long number) {
     return new Reserve(
         new AttemptId(new RequestId("0193f1aa-7c1e-7cc1-9b1e-%012x".formatted(number)), 1),
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchPeers.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchPeers.java
@@ -16,7 +16,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.mustardlatch.wire.TestCertificates;
 
-/** Measures fleets of several sizes and prints a table; see {@code bin/bench-peers --help}. */
+/** Benchmarks fleets of several sizes and prints a table; see {@code bin/bench-peers --help}. */
 public final class BenchPeers {
   private BenchPeers() {}
 
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
@@ -6,13 +6,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Figures of one fleet size; rates are per node.
+ * Measurements of one fleet size; rates are per node.
  *
- * @param steady figures without configuration changes
- * @param loaded figures while each node asks others for reservations
- * @param changing figures with a configuration change every three seconds
- * @param activationMillis time from a publish until the revision is in force, over all nodes and changes, ms
- * @param detectionMillis time from a kill until a node dropped the victim, over all nodes and kills, ms
+ * @param steady rates without requests and configuration changes
+ * @param loaded rates while each node sends reservation requests to others
+ * @param changing rates with a configuration change every three seconds
+ * @param activationMillis time from publication until the revision is active, over all nodes and
+ *     changes, ms
+ * @param detectionMillis time from a kill until a node removed the killed node, over all nodes and
+ *     kills, ms
  */
 record BenchResult(
     int nodes,
@@ -29,7 +31,8 @@
   /**
    * Rates of one phase, per node.
    *
-   * @param coreShare processor time as a share of a core, all of the process divided by nodes
+   * @param coreShare processor time of the process as a fraction of a core, divided by the number
+   *     of nodes
    */
   record Phase(
       double coreShare,
--- a/wire/src/test/java/org/mustardlatch/wire/bench/RecordingListener.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/RecordingListener.java
@@ -10,7 +10,7 @@
 import org.mustardlatch.core.peer.PeerMessage;
 import org.mustardlatch.wire.PeerNodeListener;
 
-/** Records when a node sees what. */
+/** Listener of one node that records its members, suspicions and active revisions. */
 final class RecordingListener implements PeerNodeListener {
   private final AtomicLong errorCount;
   private final BiConsumer<Long, Long> revisionListener;
@@ -20,11 +20,12 @@
   volatile int suspicionCount;
 
   /**
-   * @param applied receives revision and time of each configuration that came into force
+   * @param revisionListener receives the revision and the activation time, nanoseconds, of each
+   *     manifest
    */
-  RecordingListener(AtomicLong errors, BiConsumer<Long, Long> applied) {
-    this.errorCount = errors;
-    this.revisionListener = applied;
+  RecordingListener(AtomicLong errorCount, BiConsumer<Long, Long> revisionListener) {
+    this.errorCount = errorCount;
+    this.revisionListener = revisionListener;
   }
 
   int memberCount() {
@@ -42,7 +43,7 @@
   }
 
   @Override
-  @SuppressWarnings("NonAtomicVolatileUpdate") // calls come one after another
+  @SuppressWarnings("NonAtomicVolatileUpdate") // called by one thread at a time
   public void nodeSuspected(HostId host) {
     suspicionCount++;
   }
@@ -65,12 +66,15 @@
   @Override
   public void configurationReady(long revision) {}
 
-  /** Plays the admitting node and the entry node of a request: grant, then release. */
+  /**
+   * Grants a reservation as an admitting node does, and releases a granted one as an entry node.
+   */
   @Override
   public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
       case AdmissionMessage.Reserve m -> messageSender.accept(from, BenchMessages.granted(m));
-      case AdmissionMessage.ReserveGranted m -> messageSender.accept(from, BenchMessages.release(m));
+      case AdmissionMessage.ReserveGranted m ->
+          messageSender.accept(from, BenchMessages.release(m));
       default -> {}
     }
   }
--- a/wire/src/test/java/org/mustardlatch/wire/bench/TargetManifest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/TargetManifest.java
@@ -3,7 +3,10 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 
-/** A manifest of the size of the target: 2 regions, 7 zones, 480 workspaces, 6 models, engines. */
+/**
+ * Generates a manifest of the largest intended size: 2 regions, 7 zones, 480 workspaces, 6 models
+ * and a given number of engines.
+ */
 final class TargetManifest {
   private static final int ZONES = 7;
   private static final int WORKSPACES = 480;
@@ -11,7 +14,7 @@
 
   private TargetManifest() {}
 
-  /** Returns the text; texts of two revisions differ in one weight. */
+  /** Returns the manifest text; texts of two revisions differ in the weight of one workspace. */
   static String text(int engines, long revision) {
     StringBuilder s =
         new StringBuilder("[manifest]\nname = \"target\"\nobjective = \"waste-averse\"\n");
--- a/wire/src/test/java/org/mustardlatch/wire/bench/package-info.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Measures nodes among their peers over real sockets; see {@code bin/bench-peers}. */
+/** Benchmarks of a fleet of nodes over real sockets; see {@code bin/bench-peers}. */
 @NullMarked
 package org.mustardlatch.wire.bench;
 
