--- a/wire/src/main/java/org/mustardlatch/wire/FrameRefusal.java
+++ b/wire/src/main/java/org/mustardlatch/wire/FrameRefusal.java
@@ -7,8 +7,8 @@
   /** The TLS handshake failed, for example because no trusted certificate was presented. */
   STRANGER,
   /**
-   * The certificate does not contain the host of the frame, or differs from the peer of the
-   * connection.
+   * The certificate does not contain the expected host or the host of the frame, or the host of the
+   * frame is not the peer of the connection.
    */
   HOST_MISMATCH,
   /** The frame is not a valid envelope, or its message contains an invalid value. */
--- a/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
+++ b/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
@@ -30,10 +30,10 @@
   private final Map<Long, Consumer<Boolean>> pendingResults = new HashMap<>();
   private long lastTicket;
 
-  NodeBudgets(HostId self, RegionId region, BiConsumer<HostId, BudgetMessage> send) {
+  NodeBudgets(HostId self, RegionId region, BiConsumer<HostId, BudgetMessage> sender) {
     this.region = region;
     this.owner = new BudgetOwner(self);
-    this.sender = send;
+    this.sender = sender;
   }
 
   void configure(Map<String, BudgetTerms> terms) {
--- a/wire/src/main/java/org/mustardlatch/wire/TransportLimits.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportLimits.java
@@ -28,6 +28,7 @@
    */
   static final int MAX_ACCEPTED_CONNECTIONS = 1_024;
 
+  /** Period of the checks for silent, unused and unidentified connections. */
   static final Duration CHECK_PERIOD = Duration.ofMillis(400);
 
   /**
