--- a/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
@@ -3,7 +3,7 @@
 import org.mustardlatch.core.peer.BudgetMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Budget messages. */
+/** Converts shared budget messages to and from the body of an envelope. */
 final class BudgetCodec {
   private BudgetCodec() {}
 
@@ -29,7 +29,7 @@
               e.getBudgetLease().getBudget(),
               e.getBudgetLease().getUnits(),
               e.getBudgetLease().getValidNanos());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
+++ b/wire/src/main/java/org/mustardlatch/wire/CountingFrameDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import java.util.List;
 
-/** Length-prefixed frames; counts a frame that the end of the connection cut off. */
+/** Decodes length-prefixed frames and counts frames truncated by the end of the connection. */
 final class CountingFrameDecoder extends LengthFieldBasedFrameDecoder {
   private final TransportCounters counters;
 
@@ -13,9 +13,9 @@
     super(
         TransportLimits.MAX_FRAME_BYTES,
         0,
-        TransportLimits.LENGTH_BYTES,
+        TransportLimits.LENGTH_PREFIX_BYTES,
         0,
-        TransportLimits.LENGTH_BYTES);
+        TransportLimits.LENGTH_PREFIX_BYTES);
     this.counters = counters;
   }
 
@@ -24,7 +24,7 @@
       throws Exception {
     super.decodeLast(context, in, out);
     if (out.isEmpty() && in.isReadable()) {
-      counters.refused(FrameRefusal.TRUNCATED);
+      counters.countRefusal(FrameRefusal.TRUNCATED);
       in.skipBytes(in.readableBytes());
     }
   }
--- a/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceCodec.java
@@ -8,7 +8,7 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 import org.mustardlatch.wire.generated.PeerProto.Verdict;
 
-/** Messages about crashes and leaving upstreams. */
+/** Converts messages about crashes and leaving upstreams to and from the body of an envelope. */
 final class EvidenceCodec {
   private EvidenceCodec() {}
 
@@ -18,16 +18,18 @@
           out.getCrashReportBuilder()
               .setUpstream(m.upstream().value())
               .setCrashId(m.crashId())
-              .addAllRunning(m.running().stream().map(EvidenceCodec::bytes).toList());
+              .addAllRunning(m.running().stream().map(EvidenceCodec::fingerprintToBytes).toList());
       case EvidenceMessage.RunRequest m ->
-          out.getRunRequestBuilder().setFingerprint(bytes(m.fingerprint())).setAttempt(m.attempt());
+          out.getRunRequestBuilder()
+              .setFingerprint(fingerprintToBytes(m.fingerprint()))
+              .setAttempt(m.attempt());
       case EvidenceMessage.RunPermission m ->
           out.getRunPermissionBuilder()
-              .setFingerprint(bytes(m.fingerprint()))
+              .setFingerprint(fingerprintToBytes(m.fingerprint()))
               .setAttempt(m.attempt())
               .setVerdict(verdict(m.verdict()));
       case EvidenceMessage.Cleared m ->
-          out.getClearedBuilder().setFingerprint(bytes(m.fingerprint()));
+          out.getClearedBuilder().setFingerprint(fingerprintToBytes(m.fingerprint()));
       case EvidenceMessage.LeavingNotice m ->
           out.getLeavingNoticeBuilder().setUpstream(m.upstream().value());
     }
@@ -40,26 +42,27 @@
         yield new EvidenceMessage.CrashReport(
             new UpstreamId(m.getUpstream()),
             m.getCrashId(),
-            m.getRunningList().stream().map(PeerCodec::fingerprint).toList());
+            m.getRunningList().stream().map(PeerCodec::fingerprintFromBytes).toList());
       }
       case RUN_REQUEST ->
           new EvidenceMessage.RunRequest(
-              PeerCodec.fingerprint(e.getRunRequest().getFingerprint()),
+              PeerCodec.fingerprintFromBytes(e.getRunRequest().getFingerprint()),
               e.getRunRequest().getAttempt());
       case RUN_PERMISSION ->
           new EvidenceMessage.RunPermission(
-              PeerCodec.fingerprint(e.getRunPermission().getFingerprint()),
+              PeerCodec.fingerprintFromBytes(e.getRunPermission().getFingerprint()),
               e.getRunPermission().getAttempt(),
               verdict(e.getRunPermission().getVerdict()));
       case CLEARED ->
-          new EvidenceMessage.Cleared(PeerCodec.fingerprint(e.getCleared().getFingerprint()));
+          new EvidenceMessage.Cleared(
+              PeerCodec.fingerprintFromBytes(e.getCleared().getFingerprint()));
       case LEAVING_NOTICE ->
           new EvidenceMessage.LeavingNotice(new UpstreamId(e.getLeavingNotice().getUpstream()));
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 
-  private static ByteString bytes(Fingerprint fingerprint) {
+  private static ByteString fingerprintToBytes(Fingerprint fingerprint) {
     return PeerCodec.digestToBytes(fingerprint.value());
   }
 
@@ -76,7 +79,7 @@
       case VERDICT_RUN -> EvidenceMessage.Verdict.RUN;
       case VERDICT_WAIT -> EvidenceMessage.Verdict.WAIT;
       case VERDICT_QUARANTINED -> EvidenceMessage.Verdict.QUARANTINED;
-      case VERDICT_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.badEnum("verdict", verdict);
+      case VERDICT_UNSPECIFIED, UNRECOGNIZED -> throw PeerCodec.invalidEnum("verdict", verdict);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.wire.generated.PeerProto;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Ledger messages. */
+/** Converts ledger messages to and from the body of an envelope. */
 final class LedgerCodec {
   private LedgerCodec() {}
 
@@ -70,7 +70,7 @@
             m.getStatus(),
             m.hasAnswer() ? m.getAnswer() : null);
       }
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
+++ b/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
@@ -18,19 +18,22 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 import org.mustardlatch.core.routing.Member;
 
-/** The shared budgets of one node, as owner and as client. */
+/**
+ * The shared budgets of one region on one node, which grants leases as an owner and requests them
+ * as a client. Called by the tasks of {@link PeerNode} only.
+ */
 final class NodeBudgets {
   private final RegionId region;
   private final BudgetOwner owner;
   private final BudgetClient client = new BudgetClient();
-  private final BiConsumer<HostId, BudgetMessage> send;
-  private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
-  private long tickets;
+  private final BiConsumer<HostId, BudgetMessage> sender;
+  private final Map<Long, Consumer<Boolean>> pendingResults = new HashMap<>();
+  private long lastTicket;
 
-  NodeBudgets(HostId self, RegionId region, BiConsumer<HostId, BudgetMessage> send) {
+  NodeBudgets(HostId self, RegionId region, BiConsumer<HostId, BudgetMessage> sender) {
     this.region = region;
     this.owner = new BudgetOwner(self);
-    this.send = send;
+    this.sender = sender;
   }
 
   void configure(Map<String, BudgetTerms> terms) {
@@ -45,19 +48,19 @@
   }
 
   void spend(String budget, double units, long now, Consumer<Boolean> result) {
-    long ticket = ++tickets;
-    waiting.put(ticket, result);
+    long ticket = ++lastTicket;
+    pendingResults.put(ticket, result);
     client.spend(ticket, budget, units, now, this::execute);
   }
 
   void received(HostId from, BudgetMessage message, long now) {
     switch (message) {
-      case BudgetLeaseRequest m -> send.accept(from, owner.handleRequest(from, m, now));
+      case BudgetLeaseRequest m -> sender.accept(from, owner.handleRequest(from, m, now));
       case BudgetLease m -> client.leaseReceived(m, now, this::execute);
     }
   }
 
-  /** Does nothing unless spends wait. */
+  /** Advances the requests for units that wait for a lease; does nothing if there are none. */
   void tick(long now) {
     if (client.hasWaitingSpends()) {
       client.tick(now, this::execute);
@@ -73,14 +76,14 @@
 
   private void execute(BudgetCommand command) {
     switch (command) {
-      case BudgetCommand.Send c -> send.accept(c.to(), c.message());
-      case BudgetCommand.Granted c -> finish(c.ticket(), true);
-      case BudgetCommand.Refused c -> finish(c.ticket(), false);
+      case BudgetCommand.Send c -> sender.accept(c.to(), c.message());
+      case BudgetCommand.Granted c -> complete(c.ticket(), true);
+      case BudgetCommand.Refused c -> complete(c.ticket(), false);
     }
   }
 
-  private void finish(long ticket, boolean granted) {
-    Consumer<Boolean> result = waiting.remove(ticket);
+  private void complete(long ticket, boolean granted) {
+    Consumer<Boolean> result = pendingResults.remove(ticket);
     if (result != null) {
       result.accept(granted);
     }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
@@ -19,8 +19,8 @@
 import org.mustardlatch.wire.generated.PeerProto.Pong;
 
 /**
- * One connection: identity, sequence numbers, pings. Its fields are confined to the event loop,
- * except for the volatile ones.
+ * Handler of one connection: verifies the identity of the peer and the sequence numbers of frames,
+ * and sends pings. Fields that are not volatile are confined to the event loop.
  */
 final class PeerChannel extends SimpleChannelInboundHandler<Envelope> {
   private final PeerTransport transport;
@@ -30,14 +30,14 @@
   private volatile @Nullable HostId host;
   private @Nullable Set<String> certificateNames;
   private boolean refused;
-  private long sent;
-  private long received;
+  private long lastSentSequence;
+  private long lastReceivedSequence;
   private long openedNanos;
   private long lastReadNanos;
   private long lastMessageNanos;
-  private long unansweredSinceNanos;
-  private boolean unanswered;
-  private boolean pinged;
+  private long awaitingFrameSinceNanos;
+  private boolean awaitingFrame;
+  private boolean pingSent;
 
   /**
    * @param opener the link that opened the connection; null for an accepted one
@@ -52,7 +52,7 @@
     return accepted;
   }
 
-  /** Returns the peer that the connection belongs to, or null while it is not known. */
+  /** Returns the peer of the connection, or null until it is identified. */
   @Nullable HostId host() {
     return host;
   }
@@ -75,12 +75,12 @@
     PeerCodec.encode(message, b);
     long now = System.nanoTime();
     lastMessageNanos = now;
-    markUnanswered(now);
+    startAwaitingFrame(now);
     write(c, b);
   }
 
   /** Runs a task on the event loop of the connection. */
-  void onLoop(Runnable task) {
+  void runOnEventLoop(Runnable task) {
     Channel c = channel;
     if (c != null) {
       c.eventLoop().execute(task);
@@ -103,7 +103,7 @@
     channel = context.channel();
     transport.channelOpened(this);
     if (context.pipeline().get(SslHandler.class) == null) {
-      ready();
+      connectionReady();
     }
     context.fireChannelActive();
   }
@@ -114,7 +114,7 @@
       if (handshake.isSuccess()) {
         SslHandler ssl = context.pipeline().get(SslHandler.class);
         certificateNames = CertificateNames.of(ssl.engine().getSession());
-        ready();
+        connectionReady();
       } else if (handshake.cause() instanceof SSLException
           && !(handshake.cause() instanceof SslHandshakeTimeoutException)) {
         refuse(FrameRefusal.STRANGER);
@@ -123,13 +123,13 @@
     context.fireUserEventTriggered(event);
   }
 
-  /** The connection can carry frames. */
-  private void ready() {
+  /** Attaches an outbound connection to its link once it can carry frames, after the handshake. */
+  private void connectionReady() {
     if (opener == null) {
       return;
     }
     HostId expected = opener.host();
-    if (expected != null && !named(expected)) {
+    if (expected != null && !certificateAllows(expected)) {
       refuse(FrameRefusal.HOST_MISMATCH);
       return;
     }
@@ -137,7 +137,7 @@
     opener.attach(this);
   }
 
-  private boolean named(HostId claimed) {
+  private boolean certificateAllows(HostId claimed) {
     Set<String> names = certificateNames;
     return names == null || names.contains(claimed.value());
   }
@@ -148,19 +148,19 @@
       return;
     }
     long now = System.nanoTime();
-    HostId from = check(envelope);
+    HostId from = validatedSender(envelope);
     if (from == null) {
       return;
     }
     transport.counters().framesReceived.increment();
     lastReadNanos = now;
-    unanswered = false;
-    pinged = false;
+    awaitingFrame = false;
+    pingSent = false;
     if (host == null) {
       host = from;
-      transport.identified(this, from);
+      transport.peerIdentified(this, from);
     }
-    transport.heard(this);
+    transport.frameReceived(this);
     switch (envelope.getBodyCase()) {
       case PING ->
           write(context.channel(), Envelope.newBuilder().setPong(Pong.getDefaultInstance()));
@@ -181,13 +181,13 @@
     transport.deliver(from, envelope.getIncarnation(), message);
   }
 
-  /** Returns the sender, or null when the frame was refused. */
-  private @Nullable HostId check(Envelope envelope) {
-    if (envelope.getSequence() != received + 1) {
+  /** Returns the sender of a valid frame; refuses other frames and returns null. */
+  private @Nullable HostId validatedSender(Envelope envelope) {
+    if (envelope.getSequence() != lastReceivedSequence + 1) {
       refuse(FrameRefusal.REPLAYED);
       return null;
     }
-    received++;
+    lastReceivedSequence++;
     HostId claimed;
     try {
       claimed = new HostId(envelope.getHost());
@@ -195,8 +195,8 @@
       refuse(FrameRefusal.MALFORMED);
       return null;
     }
-    HostId known = host;
-    if (!named(claimed) || (known != null && !known.equals(claimed))) {
+    HostId identified = host;
+    if (!certificateAllows(claimed) || (identified != null && !identified.equals(claimed))) {
       refuse(FrameRefusal.HOST_MISMATCH);
       return null;
     }
@@ -212,9 +212,9 @@
       return;
     }
     refused = true;
-    transport.counters().refused(reason);
+    transport.counters().countRefusal(reason);
     if (opener != null) {
-      opener.failed(this);
+      opener.connectionRefused(this);
     }
     close();
   }
@@ -228,14 +228,14 @@
     } else if (cause instanceof DecoderException) {
       refuse(FrameRefusal.MALFORMED);
     } else if (!(cause instanceof IOException)) {
-      transport.unexpected(cause);
+      transport.reportUnexpectedError(cause);
     }
     close(context.channel());
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    transport.writable(this);
+    transport.channelWritable(this);
     context.fireChannelWritabilityChanged();
   }
 
@@ -245,61 +245,68 @@
     context.fireChannelInactive();
   }
 
-  /** Sends pings and closes silent, unused and unidentified connections. Runs on the event loop. */
-  void watch(long now, boolean late) {
+  /**
+   * Sends a ping if one is necessary and closes the connection if it is silent, unused or
+   * unidentified. Runs on the event loop.
+   *
+   * @param now current time, nanoseconds
+   * @param delayed whether this check runs so late that the process was probably paused; the
+   *     silence timeout then starts again
+   */
+  void checkLiveness(long now, boolean delayed) {
     Channel c = channel;
     if (c == null || !c.isActive()) {
       return;
     }
-    if (late && unanswered) {
-      unansweredSinceNanos = now;
+    if (delayed && awaitingFrame) {
+      awaitingFrameSinceNanos = now;
     }
     if (host == null) {
-      if (now - openedNanos > TransportLimits.IDENTIFY_NANOS) {
+      if (now - openedNanos > TransportLimits.IDENTIFICATION_TIMEOUT_NANOS) {
         refuse(FrameRefusal.UNIDENTIFIED);
       }
       return;
     }
-    if (unanswered && now - unansweredSinceNanos > transport.silentAfterNanos(this)) {
+    if (awaitingFrame && now - awaitingFrameSinceNanos > transport.silenceTimeoutNanos(this)) {
       transport.counters().silentClosed.increment();
-      transport.silent(this);
+      transport.connectionSilent(this);
       close(c);
-    } else if (now - lastMessageNanos > TransportLimits.UNUSED_AFTER_NANOS) {
+    } else if (now - lastMessageNanos > TransportLimits.UNUSED_TIMEOUT_NANOS) {
       transport.counters().unusedClosed.increment();
       close(c);
-    } else if (!pinged && needsPing(now)) {
-      pinged = true;
-      markUnanswered(now);
+    } else if (!pingSent && needsPing(now)) {
+      pingSent = true;
+      startAwaitingFrame(now);
       write(c, Envelope.newBuilder().setPing(Ping.getDefaultInstance()));
     }
   }
 
   private boolean needsPing(long now) {
-    return unanswered
-        ? now - unansweredSinceNanos > TransportLimits.PING_AFTER_NANOS
-        : now - lastReadNanos > TransportLimits.IDLE_PING_NANOS;
+    return awaitingFrame
+        ? now - awaitingFrameSinceNanos > TransportLimits.PING_DELAY_NANOS
+        : now - lastReadNanos > TransportLimits.IDLE_PING_INTERVAL_NANOS;
   }
 
-  private void markUnanswered(long now) {
-    if (!unanswered) {
-      unanswered = true;
-      unansweredSinceNanos = now;
+  private void startAwaitingFrame(long now) {
+    if (!awaitingFrame) {
+      awaitingFrame = true;
+      awaitingFrameSinceNanos = now;
     }
   }
 
-  /** A failure to close needs no action: the connection is gone either way. */
+  /** Ignores a failure to close because the connection is unusable in either case. */
   @SuppressWarnings("FutureReturnValueIgnored")
   private static void close(Channel c) {
     c.close();
   }
 
-  /** A failure to write reaches {@link #exceptionCaught} through the void promise. */
+  /** Writes a frame. The void promise reports a failure to {@link #exceptionCaught}. */
   @SuppressWarnings("FutureReturnValueIgnored")
   private void write(Channel c, Envelope.Builder envelope) {
     envelope
         .setHost(transport.host().value())
         .setIncarnation(transport.incarnation())
-        .setSequence(++sent);
+        .setSequence(++lastSentSequence);
     transport.counters().framesSent.increment();
     c.writeAndFlush(envelope.build(), c.voidPromise());
   }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -35,9 +35,9 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * One node among its peers: transport, membership, spread of the manifest and shared budgets. Its
- * state is touched by one task at a time; tasks come from network threads, the timer service and
- * callers.
+ * A node in the network of peers. Combines the transport with membership, distribution of the
+ * manifest, forwarding of crash evidence and shared budgets. Methods may be called on any thread:
+ * network threads, the timer service and callers submit tasks, which run one at a time.
  */
 public final class PeerNode {
   private static final long DUMP_TIMEOUT_MILLIS = 2_000;
@@ -48,17 +48,17 @@
   private final PeerNodeListener listener;
   private final PeerTransport transport;
   private final Subject<Runnable> tasks = PublishSubject.<Runnable>create().toSerialized();
-  private final EvidenceFlood flood = new EvidenceFlood();
+  private final EvidenceDeduplicator evidenceDeduplicator = new EvidenceDeduplicator();
   private final Rollout rollout;
   private final NodeBudgets budgets;
   private @Nullable Membership membership;
-  private @Nullable TimerSubscription ticks;
-  private @Nullable TimerSubscription budgetTicks;
-  private @Nullable Disposable running;
+  private @Nullable TimerSubscription tickSubscription;
+  private @Nullable TimerSubscription budgetTickSubscription;
+  private @Nullable Disposable taskSubscription;
   private volatile long incarnation;
   private volatile MemberList members = new MemberList(List.of(), Set.of());
-  private volatile long revision;
-  private volatile boolean ready;
+  private volatile long activeRevision;
+  private volatile boolean configurationReady;
 
   /** Creates a node; it does nothing before {@link #start}. */
   public PeerNode(
@@ -72,7 +72,7 @@
     this.listener = listener;
     this.incarnation = options.incarnation();
     this.rollout = new Rollout(options.host());
-    this.budgets = new NodeBudgets(options.host(), options.region(), this::sendBudget);
+    this.budgets = new NodeBudgets(options.host(), options.region(), this::sendBudgetMessage);
     this.transport =
         new PeerTransport(
             new PeerTransportOptions(
@@ -83,71 +83,71 @@
                 options.group(),
                 options.privateNetwork()),
             this::receive,
-            listener::unexpected);
+            listener::unexpectedError);
   }
 
   /**
-   * Starts to listen and to join.
+   * Starts to listen for peers and to join the fleet.
    *
-   * @return the address in use
+   * @return the bound address
    */
   public InetSocketAddress start() {
-    running = tasks.subscribe(this::runTask, listener::unexpected);
+    taskSubscription = tasks.subscribe(this::runTask, listener::unexpectedError);
     InetSocketAddress bound = transport.start();
     String address =
         options.advertised() != null
             ? options.advertised()
             : bound.getAddress().getHostAddress() + ":" + bound.getPort();
     tasks.onNext(() -> join(address));
-    ticks = timers.scheduleRepeating(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
-    budgetTicks =
+    tickSubscription = timers.scheduleRepeating(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
+    budgetTickSubscription =
         timers.scheduleRepeating(
             BudgetClient.TICK_PERIOD, () -> tasks.onNext(() -> budgets.tick(timers.nanos())));
     return bound;
   }
 
-  /** Tells the neighbours that this node is about to stop. */
+  /** Notifies the neighbours that this node is about to stop. */
   public void leave() {
-    tasks.onNext(() -> toMembership(new MembershipEvent.LeaveRequested()));
+    tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.LeaveRequested()));
   }
 
-  /** Stops without telling anybody; see {@link #leave}. */
+  /** Stops without notifying other nodes; call {@link #leave} first to notify them. */
   public void stop() {
-    if (ticks != null) {
-      ticks.cancel();
+    if (tickSubscription != null) {
+      tickSubscription.cancel();
     }
-    if (budgetTicks != null) {
-      budgetTicks.cancel();
+    if (budgetTickSubscription != null) {
+      budgetTickSubscription.cancel();
     }
     transport.stop();
-    if (running != null) {
-      running.dispose();
+    if (taskSubscription != null) {
+      taskSubscription.dispose();
     }
   }
 
-  /** Sends a message; one to this node itself is delivered to the listener. */
+  /** Sends a message to a node; a message to this node itself is delivered locally. */
   public void send(HostId to, PeerMessage message) {
     tasks.onNext(() -> sendNow(to, message));
   }
 
-  /** Spreads evidence to all nodes along the overlay; this node's listener does not receive it. */
-  public void spread(EvidenceMessage message) {
-    tasks.onNext(() -> passOn(options.host(), message));
+  /** Sends evidence to all other nodes, which forward it along the overlay of neighbours. */
+  public void broadcast(EvidenceMessage message) {
+    tasks.onNext(() -> forwardIfNew(options.host(), message));
   }
 
-  /** The object service lists these peer addresses. */
+  /** Reports the peer addresses that the object service lists. */
   public void nodesListed(List<String> addresses) {
-    tasks.onNext(() -> toMembership(new MembershipEvent.NodesListed(addresses)));
+    tasks.onNext(() -> handleMembershipEvent(new MembershipEvent.NodesListed(addresses)));
   }
 
-  /** The object service holds this revision; 0 with empty text when it holds none. */
-  public void stored(long storedRevision, String text) {
-    tasks.onNext(() -> toRollout(new RolloutEvent.StoreRead(storedRevision, text)));
+  /** Reports the manifest in the object service; revision 0 with empty text if there is none. */
+  public void manifestStored(long storedRevision, String text) {
+    tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.StoreRead(storedRevision, text)));
   }
 
-  /** This node stored a revision for an operator. */
-  public void published(long publishedRevision, String text) {
-    tasks.onNext(() -> toRollout(new RolloutEvent.Published(publishedRevision, text)));
+  /** Reports that this node stored a manifest revision for an operator. */
+  public void manifestPublished(long publishedRevision, String text) {
+    tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.Published(publishedRevision, text)));
   }
 
   /**
@@ -159,17 +159,17 @@
   }
 
   /**
-   * Spends units of a shared budget.
+   * Acquires units of a shared budget.
    *
-   * @param units units to take, greater than 0
-   * @param result called once, within {@link BudgetClient#MAX_WAIT} or a tick later, with whether
-   *     the units were granted; must not block
+   * @param units units to acquire, greater than 0
+   * @param result called once with whether the units were granted, after at most {@link
+   *     BudgetClient#MAX_WAIT} and one tick; must not block
    */
   public void spend(String budget, double units, Consumer<Boolean> result) {
     tasks.onNext(() -> budgets.spend(budget, units, timers.nanos(), result));
   }
 
-  /** Returns the current incarnation. */
+  /** Returns the current incarnation of this node. */
   public long incarnation() {
     return incarnation;
   }
@@ -179,14 +179,14 @@
     return members;
   }
 
-  /** Returns the manifest revision in force; 0 for none. */
-  public long revision() {
-    return revision;
+  /** Returns the active manifest revision; 0 if there is none. */
+  public long activeRevision() {
+    return activeRevision;
   }
 
-  /** Returns whether the manifest in force is recent enough to serve requests. */
-  public boolean ready() {
-    return ready;
+  /** Returns whether the active manifest is recent enough to serve requests. */
+  public boolean configurationReady() {
+    return configurationReady;
   }
 
   /** Returns the counters of the transport. */
@@ -195,11 +195,14 @@
   }
 
   /** Returns the number of open connections. */
-  public int connections() {
-    return transport.connections();
+  public int connectionCount() {
+    return transport.connectionCount();
   }
 
-  /** Returns the state for a dump. Must not be called by the listener. */
+  /**
+   * Returns the state for a diagnostic dump. Must not be called by the listener, because it waits
+   * for a task and the listener is called within one.
+   */
   public Map<String, Object> dump() {
     CompletableFuture<Map<String, Object>> dump = new CompletableFuture<>();
     tasks.onNext(() -> dump.complete(dumpNow()));
@@ -219,7 +222,7 @@
     all.put("membership", m == null ? Map.of() : m.dump());
     all.put("rollout", rollout.dump());
     all.put("budgets", budgets.dump(timers.nanos()));
-    all.put("evidence_remembered", flood.size());
+    all.put("evidence_remembered", evidenceDeduplicator.size());
     all.put("transport", transport.dump());
     return all;
   }
@@ -228,7 +231,7 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      listener.unexpected(e);
+      listener.unexpectedError(e);
     }
   }
 
@@ -241,8 +244,8 @@
   }
 
   private void tick() {
-    toMembership(new MembershipEvent.Tick());
-    toRollout(new RolloutEvent.Tick());
+    handleMembershipEvent(new MembershipEvent.Tick());
+    handleRolloutEvent(new RolloutEvent.Tick());
   }
 
   private void receive(HostId from, long senderIncarnation, PeerMessage message) {
@@ -251,49 +254,49 @@
 
   private void dispatch(HostId from, long senderIncarnation, PeerMessage message) {
     if (message instanceof MembershipMessage m) {
-      toMembership(new MembershipEvent.MessageReceived(from, senderIncarnation, m));
-      noteRevision(from, m);
+      handleMembershipEvent(new MembershipEvent.MessageReceived(from, senderIncarnation, m));
+      reportPeerRevision(from, m);
       return;
     }
-    toMembership(new MembershipEvent.FrameReceived(from, senderIncarnation));
+    handleMembershipEvent(new MembershipEvent.FrameReceived(from, senderIncarnation));
     switch (message) {
-      case RolloutMessage m -> toRollout(new RolloutEvent.MessageReceived(from, m));
+      case RolloutMessage m -> handleRolloutEvent(new RolloutEvent.MessageReceived(from, m));
       case BudgetMessage m -> budgets.received(from, m, timers.nanos());
-      case EvidenceMessage m -> evidence(from, senderIncarnation, m);
-      default -> listener.received(from, senderIncarnation, message);
+      case EvidenceMessage m -> handleEvidence(from, senderIncarnation, m);
+      default -> listener.messageReceived(from, senderIncarnation, message);
     }
   }
 
-  private void noteRevision(HostId from, MembershipMessage message) {
+  private void reportPeerRevision(HostId from, MembershipMessage message) {
     switch (message) {
       case MembershipMessage.Heartbeat m ->
-          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       case MembershipMessage.HeartbeatAck m ->
-          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       default -> {}
     }
   }
 
-  private void evidence(HostId from, long senderIncarnation, EvidenceMessage message) {
+  private void handleEvidence(HostId from, long senderIncarnation, EvidenceMessage message) {
     switch (message) {
-      case EvidenceMessage.RunRequest m -> listener.received(from, senderIncarnation, m);
-      case EvidenceMessage.RunPermission m -> listener.received(from, senderIncarnation, m);
-      case EvidenceMessage.CrashReport m -> passOnAndDeliver(from, senderIncarnation, m);
-      case EvidenceMessage.Cleared m -> passOnAndDeliver(from, senderIncarnation, m);
-      case EvidenceMessage.LeavingNotice m -> passOnAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.RunRequest m -> listener.messageReceived(from, senderIncarnation, m);
+      case EvidenceMessage.RunPermission m -> listener.messageReceived(from, senderIncarnation, m);
+      case EvidenceMessage.CrashReport m -> forwardAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.Cleared m -> forwardAndDeliver(from, senderIncarnation, m);
+      case EvidenceMessage.LeavingNotice m -> forwardAndDeliver(from, senderIncarnation, m);
     }
   }
 
-  private void passOnAndDeliver(HostId from, long senderIncarnation, EvidenceMessage message) {
-    if (passOn(from, message)) {
-      listener.received(from, senderIncarnation, message);
+  private void forwardAndDeliver(HostId from, long senderIncarnation, EvidenceMessage message) {
+    if (forwardIfNew(from, message)) {
+      listener.messageReceived(from, senderIncarnation, message);
     }
   }
 
-  /** Sends new evidence to all neighbours but its sender; returns whether it is new. */
-  private boolean passOn(HostId from, EvidenceMessage message) {
+  /** Sends new evidence to all neighbours except its sender; returns whether it is new. */
+  private boolean forwardIfNew(HostId from, EvidenceMessage message) {
     Membership m = membership;
-    if (m == null || !flood.isNew(message, timers.nanos())) {
+    if (m == null || !evidenceDeduplicator.addIfNew(message, timers.nanos())) {
       return false;
     }
     for (HostId h : m.neighbours()) {
@@ -306,26 +309,26 @@
 
   private void sendNow(HostId to, PeerMessage message) {
     if (to.equals(options.host())) {
-      dispatchOwn(to, message);
+      deliverToSelf(to, message);
       return;
     }
     Membership m = membership;
     transport.send(to, m == null ? null : m.address(to), message);
   }
 
-  private void dispatchOwn(HostId self, PeerMessage message) {
+  private void deliverToSelf(HostId self, PeerMessage message) {
     if (message instanceof BudgetMessage m) {
       budgets.received(self, m, timers.nanos());
     } else {
-      listener.received(self, incarnation, message);
+      listener.messageReceived(self, incarnation, message);
     }
   }
 
-  private void sendBudget(HostId to, BudgetMessage message) {
+  private void sendBudgetMessage(HostId to, BudgetMessage message) {
     sendNow(to, message);
   }
 
-  private void toMembership(MembershipEvent event) {
+  private void handleMembershipEvent(MembershipEvent event) {
     Membership m = membership;
     if (m != null) {
       m.handle(event, timers.nanos(), c -> execute(m, c));
@@ -337,8 +340,8 @@
       case MembershipCommand.Send c -> transport.send(c.to(), c.address(), c.message());
       case MembershipCommand.SendToAddress c -> transport.sendToAddress(c.address(), c.message());
       case MembershipCommand.MembersChanged c -> membersChanged(m, c.list());
-      case MembershipCommand.NodeRemoved c -> transport.forget(c.host());
-      case MembershipCommand.Suspected c -> listener.suspected(c.host());
+      case MembershipCommand.NodeRemoved c -> transport.removeHost(c.host());
+      case MembershipCommand.Suspected c -> listener.nodeSuspected(c.host());
       case MembershipCommand.Fenced c -> {
         incarnation = c.incarnation();
         listener.fenced(c.incarnation(), c.pausedNanos());
@@ -349,38 +352,38 @@
   private void membersChanged(Membership m, MemberList list) {
     members = list;
     budgets.membersChanged(list);
-    toRollout(new RolloutEvent.MembersChanged(list, m.neighbours()));
+    handleRolloutEvent(new RolloutEvent.MembersChanged(list, m.neighbours()));
     listener.membersChanged(list);
   }
 
-  private void toRollout(RolloutEvent event) {
+  private void handleRolloutEvent(RolloutEvent event) {
     rollout.handle(event, timers.nanos(), this::execute);
   }
 
   private void execute(RolloutCommand command) {
     switch (command) {
       case RolloutCommand.Send c -> sendNow(c.to(), c.message());
-      case RolloutCommand.Apply c -> apply(c.revision(), c.text());
-      case RolloutCommand.Accepted c -> listener.accepted(c.revision());
-      case RolloutCommand.WatchChanged c -> listener.watchChanged(c.watch());
+      case RolloutCommand.Apply c -> applyManifest(c.revision(), c.text());
+      case RolloutCommand.Accepted c -> listener.manifestAccepted(c.revision());
+      case RolloutCommand.WatchChanged c -> listener.manifestWatchChanged(c.watch());
       case RolloutCommand.Ready c -> {
-        ready = true;
-        listener.ready(c.revision());
+        configurationReady = true;
+        listener.configurationReady(c.revision());
       }
     }
   }
 
-  private void apply(long newRevision, String text) {
-    // The result is a task of its own, because the rollout is in the middle of an event.
-    if (listener.apply(newRevision, text)) {
-      revision = newRevision;
+  private void applyManifest(long newRevision, String text) {
+    // The result is handled in a separate task, because the rollout is still handling an event.
+    if (listener.applyManifest(newRevision, text)) {
+      activeRevision = newRevision;
       tasks.onNext(
           () -> {
-            toRollout(new RolloutEvent.Applied(newRevision));
-            toMembership(new MembershipEvent.ActiveRevisionChanged(newRevision));
+            handleRolloutEvent(new RolloutEvent.Applied(newRevision));
+            handleMembershipEvent(new MembershipEvent.ActiveRevisionChanged(newRevision));
           });
     } else {
-      tasks.onNext(() -> toRollout(new RolloutEvent.Rejected(newRevision)));
+      tasks.onNext(() -> handleRolloutEvent(new RolloutEvent.Rejected(newRevision)));
     }
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/RolloutCodec.java
@@ -3,7 +3,7 @@
 import org.mustardlatch.core.peer.RolloutMessage;
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
-/** Configuration messages. */
+/** Converts messages about manifest revisions to and from the body of an envelope. */
 final class RolloutCodec {
   private RolloutCodec() {}
 
@@ -34,7 +34,7 @@
           new RolloutMessage.ConfigBody(
               e.getConfigBody().getRevision(), Compression.decompress(e.getConfigBody().getGzip()));
       case CONFIG_APPLIED -> new RolloutMessage.ConfigApplied(e.getConfigApplied().getRevision());
-      default -> throw PeerCodec.unexpected(e);
+      default -> throw PeerCodec.unexpectedBody(e);
     };
   }
 }
--- a/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of a transport since its start. Safe for use by several threads. */
+/** Counters of a transport since its start. Thread-safe. */
 public final class TransportCounters {
   final LongAdder framesSent = new LongAdder();
   final LongAdder framesReceived = new LongAdder();
@@ -18,20 +18,20 @@
   final LongAdder connectFailures = new LongAdder();
   final LongAdder silentClosed = new LongAdder();
   final LongAdder unusedClosed = new LongAdder();
-  private final AtomicLongMap<FrameRefusal> refusals = AtomicLongMap.create();
+  private final AtomicLongMap<FrameRefusal> refusalCount = AtomicLongMap.create();
 
   TransportCounters() {}
 
-  void refused(FrameRefusal reason) {
-    refusals.incrementAndGet(reason);
+  void countRefusal(FrameRefusal reason) {
+    refusalCount.incrementAndGet(reason);
   }
 
-  /** Returns how many frames or connections were refused for this reason. */
-  public long refusals(FrameRefusal reason) {
-    return refusals.get(reason);
+  /** Returns the number of frames and connections refused for this reason. */
+  public long refusalCount(FrameRefusal reason) {
+    return refusalCount.get(reason);
   }
 
-  /** Returns all counts by name. Bytes are those on the socket, with TLS and without TCP/IP. */
+  /** Returns all counters by name. Byte counts include TLS but not TCP/IP headers. */
   public Map<String, Long> snapshot() {
     Map<String, Long> all = new LinkedHashMap<>();
     all.put("frames_sent", framesSent.sum());
@@ -46,7 +46,7 @@
     all.put("silent_closed", silentClosed.sum());
     all.put("unused_closed", unusedClosed.sum());
     for (FrameRefusal reason : FrameRefusal.values()) {
-      all.put("refused_" + reason.label(), refusals(reason));
+      all.put("refused_" + reason.label(), refusalCount(reason));
     }
     return all;
   }
--- a/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerNodeTest.java
@@ -24,50 +24,50 @@
 import org.mustardlatch.core.peer.EvidenceMessage;
 import org.mustardlatch.core.peer.PeerMessage;
 
-/** Guards the wiring of transport, membership and rollout over real sockets. */
+/** Tests transport, membership, manifest rollout and budgets together over real sockets. */
 class PeerNodeTest {
   private static final class Recorder implements PeerNodeListener {
     final ConcurrentLinkedQueue<PeerMessage> received = new ConcurrentLinkedQueue<>();
     final ConcurrentLinkedQueue<Throwable> errors = new ConcurrentLinkedQueue<>();
-    volatile long accepted;
+    volatile long acceptedRevision;
 
     @Override
     public void membersChanged(MemberList list) {}
 
     @Override
-    public void suspected(HostId host) {}
+    public void nodeSuspected(HostId host) {}
 
     @Override
     public void fenced(long incarnation, long pausedNanos) {}
 
     @Override
-    public boolean apply(long revision, String text) {
+    public boolean applyManifest(long revision, String text) {
       return true;
     }
 
     @Override
-    public void accepted(long revision) {
-      accepted = revision;
+    public void manifestAccepted(long revision) {
+      acceptedRevision = revision;
     }
 
     @Override
-    public void watchChanged(boolean watch) {}
+    public void manifestWatchChanged(boolean watch) {}
 
     @Override
-    public void ready(long revision) {}
+    public void configurationReady(long revision) {}
 
     @Override
-    public void received(HostId from, long incarnation, PeerMessage message) {
+    public void messageReceived(HostId from, long incarnation, PeerMessage message) {
       received.add(message);
     }
 
     @Override
-    public void unexpected(Throwable error) {
+    public void unexpectedError(Throwable error) {
       errors.add(error);
     }
   }
 
-  private final SystemTimers timers = new SystemTimers(1);
+  private final ThreadPoolTimerService timers = new ThreadPoolTimerService(1);
   private final List<PeerNode> nodes = new ArrayList<>();
   private final List<Recorder> recorders = new ArrayList<>();
 
@@ -101,26 +101,26 @@
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    CountDownLatch never = new CountDownLatch(1);
+    CountDownLatch neverReleased = new CountDownLatch(1);
     for (int i = 0; i < 4_000 && !condition.getAsBoolean(); i++) {
-      assertThat(never.await(10, TimeUnit.MILLISECONDS)).isFalse();
+      assertThat(neverReleased.await(10, TimeUnit.MILLISECONDS)).isFalse();
     }
     assertThat(condition.getAsBoolean()).isTrue();
   }
 
   @Test
-  void nodesJoinSpreadManifestsAndEvidenceAndNoticeALeave() throws Exception {
+  void nodesJoinDistributeManifestsAndEvidenceAndDetectALeavingNode() throws Exception {
     InetSocketAddress first = start(0, List.of());
     String seed = first.getAddress().getHostAddress() + ":" + first.getPort();
     for (int i = 1; i < 5; i++) {
       start(i, List.of(seed));
     }
     await(() -> nodes.stream().allMatch(n -> n.members().members().size() == 5));
-    nodes.get(3).published(1, "one");
-    await(() -> nodes.stream().allMatch(n -> n.revision() == 1 && n.ready()));
-    await(() -> recorders.get(3).accepted == 1);
+    nodes.get(3).manifestPublished(1, "one");
+    await(() -> nodes.stream().allMatch(n -> n.activeRevision() == 1 && n.configurationReady()));
+    await(() -> recorders.get(3).acceptedRevision == 1);
     EvidenceMessage notice = new EvidenceMessage.LeavingNotice(new UpstreamId("u"));
-    nodes.get(1).spread(notice);
+    nodes.get(1).broadcast(notice);
     await(() -> recorders.stream().filter(r -> r.received.contains(notice)).count() == 4);
     nodes.get(2).send(new HostId("n2"), notice);
     await(() -> recorders.get(2).received.size() == 2);
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchResult.java
@@ -6,13 +6,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Figures of one fleet size; rates are per node.
+ * Measurements of one fleet size; rates are per node.
  *
- * @param steady figures without configuration changes
- * @param loaded figures while each node asks others for reservations
- * @param changing figures with a configuration change every three seconds
- * @param spread time from a publish until the revision is in force, over all nodes and changes, ms
- * @param detection time from a kill until a node dropped the victim, over all nodes and kills, ms
+ * @param steady rates without requests and configuration changes
+ * @param loaded rates while each node sends reservation requests to others
+ * @param changing rates with a configuration change every three seconds
+ * @param activationMillis time from publication until the revision is active, over all nodes and
+ *     changes, ms
+ * @param detectionMillis time from a kill until a node removed the killed node, over all nodes and
+ *     kills, ms
  */
 record BenchResult(
     int nodes,
@@ -20,22 +22,23 @@
     Phase steady,
     Phase loaded,
     Phase changing,
-    Histogram spread,
-    Histogram detection,
-    Map<String, Long> refusals,
-    long suspicions,
-    long errors) {
+    Histogram activationMillis,
+    Histogram detectionMillis,
+    Map<String, Long> refusalsAndDrops,
+    long suspicionCount,
+    long errorCount) {
 
   /**
    * Rates of one phase, per node.
    *
-   * @param coreShare processor time as a share of a core, all of the process divided by nodes
+   * @param coreShare processor time of the process as a fraction of a core, divided by the number
+   *     of nodes
    */
   record Phase(
       double coreShare,
       double bytesSent,
       double bytesReceived,
-      double messagesSent,
+      double framesSent,
       double heapBytes,
       double directBytes,
       double connections) {
@@ -44,7 +47,7 @@
       all.put("core_share", coreShare);
       all.put("bytes_sent_per_s", bytesSent);
       all.put("bytes_received_per_s", bytesReceived);
-      all.put("messages_sent_per_s", messagesSent);
+      all.put("messages_sent_per_s", framesSent);
       all.put("heap_bytes", heapBytes);
       all.put("direct_bytes", directBytes);
       all.put("connections", connections);
@@ -60,7 +63,7 @@
           coreShare * 100,
           bytesSent,
           bytesReceived,
-          messagesSent,
+          framesSent,
           heapBytes / 1e6,
           directBytes / 1e6,
           connections);
@@ -82,15 +85,15 @@
             "%n      join %.1f s, in force p50 %d p99 %d max %d ms,"
                 + " detection p50 %d p99 %d max %d ms, suspicions %d, errors %d, refused %s",
             joinSeconds,
-            spread.getValueAtPercentile(50),
-            spread.getValueAtPercentile(99),
-            spread.getMaxValue(),
-            detection.getValueAtPercentile(50),
-            detection.getValueAtPercentile(99),
-            detection.getMaxValue(),
-            suspicions,
-            errors,
-            refusals);
+            activationMillis.getValueAtPercentile(50),
+            activationMillis.getValueAtPercentile(99),
+            activationMillis.getMaxValue(),
+            detectionMillis.getValueAtPercentile(50),
+            detectionMillis.getValueAtPercentile(99),
+            detectionMillis.getMaxValue(),
+            suspicionCount,
+            errorCount,
+            refusalsAndDrops);
   }
 
   Map<String, Object> toMap() {
@@ -100,11 +103,11 @@
     all.put("steady", steady.toMap());
     all.put("requests", loaded.toMap());
     all.put("changing", changing.toMap());
-    all.put("in_force_ms", percentiles(spread));
-    all.put("detection_ms", percentiles(detection));
-    all.put("suspicions", suspicions);
-    all.put("errors", errors);
-    all.put("refusals", refusals);
+    all.put("in_force_ms", percentiles(activationMillis));
+    all.put("detection_ms", percentiles(detectionMillis));
+    all.put("suspicions", suspicionCount);
+    all.put("errors", errorCount);
+    all.put("refusals", refusalsAndDrops);
     return all;
   }
 
