--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -35,7 +35,7 @@
 import org.mustardlatch.daemon.node.ManifestService;
 import org.mustardlatch.daemon.node.NodeRegistration;
 import org.mustardlatch.daemon.node.NodeState;
-import org.mustardlatch.daemon.operator.NodeViews;
+import org.mustardlatch.daemon.operator.NodeInspector;
 import org.mustardlatch.daemon.operator.OperatorApi;
 import org.mustardlatch.daemon.operator.RequestMetrics;
 import org.mustardlatch.daemon.peer.PeerServiceListener;
@@ -129,7 +129,7 @@
             settings.operatorAddress(),
             state,
             manifest,
-            new NodeViews(
+            new NodeInspector(
                 settings, state, manifest, peers, routing, engines, () -> internals(router)),
             manifests,
             this::drain,
@@ -155,7 +155,7 @@
   /** Begins a graceful stop; returns at once. {@link #awaitDrained} tells when it is over. */
   public void drain() {
     if (state.enter(NodeState.Phase.DRAINING)) {
-      EventLog.log(LogEvent.DAEMON_DRAINING, callers.inProgress());
+      EventLog.log(LogEvent.DAEMON_DRAINING, callers.requestsInProgress());
       loop.schedule(settings.drainDelay(), this::refuse);
     }
   }
@@ -220,7 +220,7 @@
   }
 
   private void awaitLast() {
-    if (callers.inProgress() > 0) {
+    if (callers.requestsInProgress() > 0) {
       loop.schedule(DRAIN_POLL, this::awaitLast);
     } else {
       var unused = ledger.drain(LEDGER_DRAIN).thenRun(this::leave);
--- a/daemon/src/main/java/org/mustardlatch/daemon/WorkspaceRates.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/WorkspaceRates.java
@@ -11,7 +11,7 @@
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.model.WorkspaceId;
 import org.mustardlatch.core.routing.Member;
-import org.mustardlatch.daemon.caller.RequestRates;
+import org.mustardlatch.daemon.caller.RequestRateLimiter;
 import org.mustardlatch.daemon.node.ManifestInForce;
 import org.mustardlatch.daemon.node.Membership;
 import org.mustardlatch.daemon.peer.PeerService;
@@ -20,7 +20,7 @@
  * Shares the workspaces' rates of requests among the nodes by leases. A budget belongs to one
  * region; the region's part of a rate is its share of the live nodes.
  */
-final class WorkspaceRates implements RequestRates {
+final class WorkspaceRates implements RequestRateLimiter {
   /** Rates of this and more count as no limit. */
   private static final double UNLIMITED = 1_000_000;
 
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public boolean take(WorkspaceId workspace) {
+  public boolean tryAcquire(WorkspaceId workspace) {
     String budget = budget(workspace);
     if (!limited.contains(budget)) {
       return true;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
@@ -27,8 +27,8 @@
 
 /** The HTTP interface for callers. */
 public final class CallerApi {
-  private static final String REQUEST_ID = "X-Request-Id";
-  private static final List<HandlerType> PASSED_METHODS =
+  private static final String REQUEST_ID_HEADER = "X-Request-Id";
+  private static final List<HandlerType> PASS_THROUGH_METHODS =
       List.of(
           HandlerType.GET,
           HandlerType.HEAD,
@@ -39,10 +39,10 @@
 
   private final ManifestInForce manifest;
   private final RequestMetrics metrics;
-  private final GenerationHandler generation;
-  private final PassThroughHandler passThrough;
+  private final GenerationHandler generationHandler;
+  private final PassThroughHandler passThroughHandler;
   private final HttpServer server;
-  private final AtomicInteger inProgress = new AtomicInteger();
+  private final AtomicInteger requestsInProgress = new AtomicInteger();
 
   /** Creates the interface; it does not listen yet. */
   public CallerApi(
@@ -52,17 +52,17 @@
       RoutingService routing,
       LedgerService ledger,
       ApplicationCalls applications,
-      RequestRates rates,
+      RequestRateLimiter rates,
       RequestMetrics metrics) {
     this.manifest = manifest;
     this.metrics = metrics;
-    Gate gate = new Gate(state);
-    WorkspaceLimits limits = new WorkspaceLimits(rates);
-    this.generation = new GenerationHandler(gate, manifest, limits, routing, metrics);
-    this.passThrough =
+    ReadinessCheck gate = new ReadinessCheck(state);
+    WorkspaceLimiter limits = new WorkspaceLimiter(rates);
+    this.generationHandler = new GenerationHandler(gate, manifest, limits, routing, metrics);
+    this.passThroughHandler =
         new PassThroughHandler(
-            gate, manifest, limits, applications, new KeyedWork(ledger, applications));
-    this.server = new HttpServer(address, this::routes);
+            gate, manifest, limits, applications, new KeyedRequestExecutor(ledger, applications));
+    this.server = new HttpServer(address, this::registerRoutes);
   }
 
   /** Starts listening. */
@@ -76,8 +76,8 @@
   }
 
   /** Returns the number of requests whose answers are not yet written. */
-  public int inProgress() {
-    return inProgress.get();
+  public int requestsInProgress() {
+    return requestsInProgress.get();
   }
 
   /** Returns the port that it listens on. */
@@ -85,38 +85,38 @@
     return server.port();
   }
 
-  private void routes(RoutesConfig routes) {
-    routes.before(ctx -> ctx.header(REQUEST_ID, UUID.randomUUID().toString()));
-    routes.post("/v1/completions", ctx -> generate(ctx, false));
-    routes.post("/v1/chat/completions", ctx -> generate(ctx, true));
+  private void registerRoutes(RoutesConfig routes) {
+    routes.before(ctx -> ctx.header(REQUEST_ID_HEADER, UUID.randomUUID().toString()));
+    routes.post("/v1/completions", ctx -> handleGeneration(ctx, false));
+    routes.post("/v1/chat/completions", ctx -> handleGeneration(ctx, true));
     routes.get("/v1/models", this::listModels);
-    for (HandlerType method : PASSED_METHODS) {
-      routes.addHttpHandler(method, "/*", this::pass);
+    for (HandlerType method : PASS_THROUGH_METHODS) {
+      routes.addHttpHandler(method, "/*", this::handlePassThrough);
     }
-    routes.exception(MustardlatchException.class, this::answerError);
+    routes.exception(MustardlatchException.class, this::writeError);
     routes.exception(IOException.class, (e, ctx) -> {});
-    routes.exception(Exception.class, this::answerFault);
+    routes.exception(Exception.class, this::writeInternalError);
   }
 
-  private void generate(Context ctx, boolean chat) throws IOException, InterruptedException {
-    count(() -> generation.handle(ctx, new RequestId(requestId(ctx)), chat));
+  private void handleGeneration(Context ctx, boolean chat) throws IOException, InterruptedException {
+    trackInProgress(() -> generationHandler.handle(ctx, new RequestId(requestId(ctx)), chat));
   }
 
-  private void pass(Context ctx) throws IOException, InterruptedException {
-    count(() -> passThrough.handle(ctx, requestId(ctx)));
+  private void handlePassThrough(Context ctx) throws IOException, InterruptedException {
+    trackInProgress(() -> passThroughHandler.handle(ctx, requestId(ctx)));
   }
 
-  private void count(Work work) throws IOException, InterruptedException {
-    inProgress.incrementAndGet();
+  private void trackInProgress(RequestTask work) throws IOException, InterruptedException {
+    requestsInProgress.incrementAndGet();
     try {
       work.run();
     } finally {
-      inProgress.decrementAndGet();
+      requestsInProgress.decrementAndGet();
     }
   }
 
   private static String requestId(Context ctx) {
-    return String.valueOf(ctx.res().getHeader(REQUEST_ID));
+    return String.valueOf(ctx.res().getHeader(REQUEST_ID_HEADER));
   }
 
   private void listModels(Context ctx) {
@@ -135,17 +135,17 @@
     ctx.contentType("application/json").result(answer.toString());
   }
 
-  private void answerError(MustardlatchException error, Context ctx) {
-    metrics.error(error.code());
-    ErrorAnswer.write(ctx, error);
+  private void writeError(MustardlatchException error, Context ctx) {
+    metrics.recordError(error.code());
+    ErrorResponseWriter.write(ctx, error);
   }
 
-  private void answerFault(Exception fault, Context ctx) {
+  private void writeInternalError(Exception fault, Context ctx) {
     EventLog.log(LogEvent.UNEXPECTED_ERROR, ctx.path(), fault);
-    answerError(new MustardlatchException(ErrorCode.INTERNAL, "internal error; see the log"), ctx);
+    writeError(new MustardlatchException(ErrorCode.INTERNAL, "internal error; see the log"), ctx);
   }
 
-  private interface Work {
+  private interface RequestTask {
     void run() throws IOException, InterruptedException;
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerConnection.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerConnection.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns whether the connection is closed by the caller or broken; does not block. */
-  boolean isGone() {
+  boolean isClosed() {
     if (!endPoint.isOpen() || endPoint.isInputShutdown()) {
       return true;
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerChunks.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionFormatter.java
@@ -11,34 +11,34 @@
  * Makes the JSON of answers. Id, model and time are the router's own, so that an answer that a
  * second engine continues looks like one answer.
  */
-final class AnswerChunks {
+final class CompletionFormatter {
   private final String id;
   private final GenerationInput input;
   private final long createdSeconds = Instant.now().getEpochSecond();
 
-  AnswerChunks(Exchange exchange) {
+  CompletionFormatter(Exchange exchange) {
     this.id = (exchange.input().chat() ? "chatcmpl-" : "cmpl-") + exchange.id();
     this.input = exchange.input();
   }
 
   /** Returns an event of a stream. */
-  String event(Chunk chunk) {
-    ObjectNode event = head(input.chat() ? "chat.completion.chunk" : "text_completion");
+  String formatChunk(Chunk chunk) {
+    ObjectNode event = createObject(input.chat() ? "chat.completion.chunk" : "text_completion");
     event.putArray("choices").add(chunk.choice());
     return event.toString();
   }
 
   /** Returns the event that tells the usage at the end of a stream. */
-  String usageEvent(int tokens) {
-    ObjectNode event = head(input.chat() ? "chat.completion.chunk" : "text_completion");
+  String formatUsage(int tokens) {
+    ObjectNode event = createObject(input.chat() ? "chat.completion.chunk" : "text_completion");
     event.putArray("choices");
     putUsage(event, tokens);
     return event.toString();
   }
 
   /** Returns a whole answer. */
-  String whole(String text, String finishReason, int tokens) {
-    ObjectNode answer = head(input.chat() ? "chat.completion" : "text_completion");
+  String formatCompletion(String text, String finishReason, int tokens) {
+    ObjectNode answer = createObject(input.chat() ? "chat.completion" : "text_completion");
     ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
     if (input.chat()) {
       choice.putObject("message").put("role", "assistant").put("content", text);
@@ -50,7 +50,7 @@
     return answer.toString();
   }
 
-  private ObjectNode head(String object) {
+  private ObjectNode createObject(String object) {
     return JsonNodeFactory.instance
         .objectNode()
         .put("id", id)
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
@@ -12,23 +12,23 @@
 import org.mustardlatch.daemon.routing.SinkEvent;
 
 /** Takes the answer from a sink and writes it to the caller, as a stream or as a whole. */
-final class AnswerWriter {
+final class CompletionWriter {
   /** A caller that leaves is noticed within this time while no token comes. */
-  private static final Duration CONNECTION_CHECK = Duration.ofMillis(250);
+  private static final Duration CONNECTION_CHECK_INTERVAL = Duration.ofMillis(250);
 
   private final Context ctx;
   private final Exchange exchange;
   private final ResponseSink sink;
   private final CallerConnection connection;
-  private final AnswerChunks chunks;
-  private int tokens;
+  private final CompletionFormatter formatter;
+  private int tokenCount;
 
-  AnswerWriter(Context ctx, Exchange exchange) {
+  CompletionWriter(Context ctx, Exchange exchange) {
     this.ctx = ctx;
     this.exchange = exchange;
     this.sink = exchange.sink();
     this.connection = new CallerConnection(ctx);
-    this.chunks = new AnswerChunks(exchange);
+    this.formatter = new CompletionFormatter(exchange);
   }
 
   /**
@@ -38,99 +38,99 @@
    * @throws RefusedException when the request failed before any byte was written
    * @throws IOException when the caller is gone
    */
-  Ending write() throws IOException, InterruptedException {
-    SinkEvent first = next();
+  WriteOutcome write() throws IOException, InterruptedException {
+    SinkEvent first = awaitNext();
     if (first instanceof SinkEvent.Failed failed) {
       throw new RefusedException(failed.code(), failed.detail(), failed.retryAfter());
     }
-    return exchange.input().stream() ? stream(first) : whole(first);
+    return exchange.input().stream() ? writeStream(first) : writeCompletion(first);
   }
 
   /** Returns the number of tokens that were written or collected. */
-  int tokens() {
-    return tokens;
+  int tokenCount() {
+    return tokenCount;
   }
 
-  private Ending whole(SinkEvent first) throws IOException, InterruptedException {
+  private WriteOutcome writeCompletion(SinkEvent first) throws IOException, InterruptedException {
     StringBuilder text = new StringBuilder();
     String finishReason = "stop";
-    for (SinkEvent event = first; ; event = next()) {
+    for (SinkEvent event = first; ; event = awaitNext()) {
       switch (event) {
         case SinkEvent.Piece piece -> {
           text.append(piece.chunk().text());
-          tokens += piece.chunk().tokens();
-          finishReason = reason(piece.chunk(), finishReason);
+          tokenCount += piece.chunk().tokens();
+          finishReason = finishReasonOr(piece.chunk(), finishReason);
         }
         case SinkEvent.Failed failed ->
             throw new RefusedException(failed.code(), failed.detail(), failed.retryAfter());
         case SinkEvent.End end -> {
           ctx.contentType("application/json")
-              .result(chunks.whole(text.toString(), finishReason, tokens));
-          return Ending.COMPLETE;
+              .result(formatter.formatCompletion(text.toString(), finishReason, tokenCount));
+          return WriteOutcome.COMPLETE;
         }
       }
     }
   }
 
-  private Ending stream(SinkEvent first) throws IOException, InterruptedException {
+  private WriteOutcome writeStream(SinkEvent first) throws IOException, InterruptedException {
     ctx.contentType("text/event-stream");
     ctx.header("Cache-Control", "no-cache");
     OutputStream out = ctx.res().getOutputStream();
-    for (SinkEvent event = first; ; event = nextFlushed(out)) {
+    for (SinkEvent event = first; ; event = nextFlushingIfIdle(out)) {
       switch (event) {
         case SinkEvent.Piece piece -> {
-          tokens += piece.chunk().tokens();
-          send(out, chunks.event(piece.chunk()));
+          tokenCount += piece.chunk().tokens();
+          writeEvent(out, formatter.formatChunk(piece.chunk()));
         }
         case SinkEvent.Failed failed -> {
-          send(out, ErrorAnswer.body(failed.code(), failed.detail()));
+          writeEvent(out, ErrorResponseWriter.toJson(failed.code(), failed.detail()));
           out.flush();
-          return Ending.FAILED;
+          return WriteOutcome.FAILED;
         }
         case SinkEvent.End end -> {
           if (exchange.input().usageInStream()) {
-            send(out, chunks.usageEvent(tokens));
+            writeEvent(out, formatter.formatUsage(tokenCount));
           }
-          send(out, "[DONE]");
+          writeEvent(out, "[DONE]");
           out.flush();
-          return Ending.COMPLETE;
+          return WriteOutcome.COMPLETE;
         }
       }
     }
   }
 
   /** Returns the next event; flushes only when none is waiting. */
-  private SinkEvent nextFlushed(OutputStream out) throws IOException, InterruptedException {
+  private SinkEvent nextFlushingIfIdle(OutputStream out) throws IOException, InterruptedException {
     SinkEvent waiting = sink.next(Duration.ZERO);
     if (waiting != null) {
       return waiting;
     }
     out.flush();
-    return next();
+    return awaitNext();
   }
 
-  private SinkEvent next() throws IOException, InterruptedException {
-    SinkEvent event = sink.next(CONNECTION_CHECK);
+  private SinkEvent awaitNext() throws IOException, InterruptedException {
+    SinkEvent event = sink.next(CONNECTION_CHECK_INTERVAL);
     while (event == null) {
-      if (connection.isGone()) {
+      if (connection.isClosed()) {
         throw new IOException("caller closed the connection");
       }
-      event = sink.next(CONNECTION_CHECK);
+      event = sink.next(CONNECTION_CHECK_INTERVAL);
     }
     return event;
   }
 
-  private static void send(OutputStream out, String data) throws IOException {
+  private static void writeEvent(OutputStream out, String data) throws IOException {
     out.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String reason(Chunk chunk, String otherwise) {
+  private static String finishReasonOr(Chunk chunk, String otherwise) {
     @Nullable String reason = chunk.finishReason();
     return reason == null ? otherwise : reason;
   }
 
   /** How an answer ended. */
-  enum Ending {
+  enum WriteOutcome {
     COMPLETE,
     FAILED
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
@@ -12,14 +12,14 @@
 /** Hashes of a request's content, the same on every node. */
 final class ContentHashes {
   /** 256 tokens at an estimated 4 bytes. */
-  private static final int BLOCK_BYTES = 1024;
+  private static final int PREFIX_BLOCK_BYTES = 1024;
 
   private static final HashFunction BLOCK_HASH = Hashing.farmHashFingerprint64();
 
   /**
    * Fields that change how an answer is delivered or accounted, but not what an engine computes.
    */
-  private static final List<String> NOT_CONTENT =
+  private static final List<String> IGNORED_FIELDS =
       List.of("stream", "stream_options", "user", "metadata", "store", "service_tier");
 
   private ContentHashes() {}
@@ -28,19 +28,19 @@
   static Fingerprint fingerprint(GenerationInput input) {
     ObjectNode content = input.body().objectNode();
     content.setAll(input.body());
-    content.remove(NOT_CONTENT);
-    return new Fingerprint(Hashing.sha256().hashBytes(CallerJson.canonical(content)).toString());
+    content.remove(IGNORED_FIELDS);
+    return new Fingerprint(Hashing.sha256().hashBytes(StrictJson.toCanonicalBytes(content)).toString());
   }
 
   /** Returns a hash for each whole leading block; each covers all blocks before it. */
-  static List<Long> prefixBlocks(GenerationInput input) {
+  static List<Long> prefixBlockHashes(GenerationInput input) {
     String field = input.chat() ? "messages" : "prompt";
     String text = input.body().path(field).toString();
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     List<Long> blocks = new ArrayList<>();
     long hash = BLOCK_HASH.hashString(input.model().value(), StandardCharsets.UTF_8).asLong();
-    for (int at = 0; at + BLOCK_BYTES <= bytes.length; at += BLOCK_BYTES) {
-      hash = BLOCK_HASH.newHasher().putLong(hash).putBytes(bytes, at, BLOCK_BYTES).hash().asLong();
+    for (int at = 0; at + PREFIX_BLOCK_BYTES <= bytes.length; at += PREFIX_BLOCK_BYTES) {
+      hash = BLOCK_HASH.newHasher().putLong(hash).putBytes(bytes, at, PREFIX_BLOCK_BYTES).hash().asLong();
       blocks.add(hash);
     }
     return blocks;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorAnswer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorResponseWriter.java
@@ -8,23 +8,23 @@
 import org.mustardlatch.core.error.MustardlatchException;
 
 /** Writes errors in the form that OpenAI clients understand. */
-public final class ErrorAnswer {
+public final class ErrorResponseWriter {
   private static final int SERVER_ERROR = 500;
 
-  private ErrorAnswer() {}
+  private ErrorResponseWriter() {}
 
   /** Writes an error as the whole answer, with {@code Retry-After} where coming back is of use. */
   public static void write(Context ctx, MustardlatchException error) {
     if (error instanceof RefusedException refused && !refused.retryAfter().isZero()) {
-      ctx.header("Retry-After", Long.toString(seconds(refused.retryAfter())));
+      ctx.header("Retry-After", Long.toString(roundUpToSeconds(refused.retryAfter())));
     }
     ctx.status(error.code().httpStatus())
         .contentType("application/json")
-        .result(body(error.code(), String.valueOf(error.getMessage())));
+        .result(toJson(error.code(), String.valueOf(error.getMessage())));
   }
 
   /** Returns the JSON text of an error. */
-  public static String body(ErrorCode code, String message) {
+  public static String toJson(ErrorCode code, String message) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.putObject("error")
         .put("message", message)
@@ -34,7 +34,7 @@
   }
 
   /** Rounds up, so that nobody comes back too early. */
-  private static long seconds(Duration duration) {
+  private static long roundUpToSeconds(Duration duration) {
     return Math.max(1, duration.plusMillis(999).toSeconds());
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -22,50 +22,50 @@
 
   private static final Duration FINAL_DEADLINE_MARGIN = Duration.ofSeconds(30);
 
-  private final Gate gate;
+  private final ReadinessCheck readiness;
   private final ManifestInForce manifest;
-  private final WorkspaceLimits limits;
+  private final WorkspaceLimiter limiter;
   private final RoutingService routing;
   private final RequestMetrics metrics;
 
   GenerationHandler(
-      Gate gate,
+      ReadinessCheck gate,
       ManifestInForce manifest,
-      WorkspaceLimits limits,
+      WorkspaceLimiter limits,
       RoutingService routing,
       RequestMetrics metrics) {
-    this.gate = gate;
+    this.readiness = gate;
     this.manifest = manifest;
-    this.limits = limits;
+    this.limiter = limits;
     this.routing = routing;
     this.metrics = metrics;
   }
 
   void handle(Context ctx, RequestId id, boolean chat) throws IOException, InterruptedException {
-    gate.check();
+    readiness.requireAccepting();
     Manifest inForce = manifest.orThrow();
     Workspace workspace = Authenticator.authenticate(inForce, ctx.header("Authorization"));
     byte[] body = BodyReader.read(ctx);
-    GenerationInput input = GenerationReader.read(body, chat, inForce);
-    try (WorkspaceLimits.Place place = limits.enter(workspace)) {
-      GenerationRequest request = classify(id, workspace, input, body.length, inForce);
-      run(ctx, new Exchange(request, input, new ResponseSink(metrics.lateAnswers())));
+    GenerationInput input = GenerationInputParser.parse(body, chat, inForce);
+    try (WorkspaceLimiter.Slot place = limiter.acquire(workspace)) {
+      GenerationRequest request = createRequest(id, workspace, input, body.length, inForce);
+      routeAndRespond(ctx, new Exchange(request, input, new ResponseSink(metrics.staleChunks())));
     }
   }
 
-  private void run(Context ctx, Exchange exchange) throws IOException, InterruptedException {
-    AnswerWriter writer = new AnswerWriter(ctx, exchange);
+  private void routeAndRespond(Context ctx, Exchange exchange) throws IOException, InterruptedException {
+    CompletionWriter writer = new CompletionWriter(ctx, exchange);
     routing.submit(exchange);
     try {
-      metrics.ended(writer.write() == AnswerWriter.Ending.COMPLETE, writer.tokens());
+      metrics.recordResponse(writer.write() == CompletionWriter.WriteOutcome.COMPLETE, writer.tokenCount());
     } catch (IOException | InterruptedException e) {
       routing.callerGone(exchange);
-      metrics.callerGone();
+      metrics.recordDisconnect();
       throw e;
     }
   }
 
-  private static GenerationRequest classify(
+  private static GenerationRequest createRequest(
       RequestId id, Workspace workspace, GenerationInput input, int bytes, Manifest manifest) {
     long now = System.nanoTime();
     Model model = manifest.model(input.model()).orElseThrow();
@@ -82,7 +82,7 @@
         input.promptTokens(),
         input.maxTokens(),
         bytes,
-        ContentHashes.prefixBlocks(input),
+        ContentHashes.prefixBlockHashes(input),
         ContentHashes.fingerprint(input),
         now + model.firstTokenTarget().toNanos(),
         now + whole.toNanos());
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedWork.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
@@ -28,18 +28,18 @@
 import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
 
 /** Runs calls that must not run twice: the ledger decides whether, this class dispatches once. */
-final class KeyedWork {
+final class KeyedRequestExecutor {
   static final String KEY_HEADER = "Idempotency-Key";
 
   private static final int MAX_KEY_CHARS = 255;
-  private static final Duration DEADLINE = Duration.ofSeconds(30);
-  private static final Duration LOOK_UP_LIMIT = Duration.ofSeconds(3);
-  private static final Duration CONNECTION_CHECK = Duration.ofMillis(250);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
+  private static final Duration LOOKUP_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration CONNECTION_CHECK_INTERVAL = Duration.ofMillis(250);
 
   private final LedgerService ledger;
   private final ApplicationCalls applications;
 
-  KeyedWork(LedgerService ledger, ApplicationCalls applications) {
+  KeyedRequestExecutor(LedgerService ledger, ApplicationCalls applications) {
     this.ledger = ledger;
     this.applications = applications;
   }
@@ -49,43 +49,43 @@
    *
    * @throws MustardlatchException when it did not run for this call or its outcome is not known
    */
-  Answered run(
+  Answered execute(
       Context ctx,
       Workspace workspace,
       Route route,
       UpstreamId upstream,
       ApplicationRequest request)
       throws InterruptedException {
-    String key = key(ctx.header(KEY_HEADER));
-    long deadlineNanos = System.nanoTime() + DEADLINE.toNanos();
-    KeyedCall call = ledger.begin(workspace.id(), key, digest(request), deadlineNanos);
+    String key = requireKey(ctx.header(KEY_HEADER));
+    long deadlineNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
+    KeyedCall call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
     @Nullable Answered own = null;
-    if (awaitPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
-      ApplicationResult result = applications.sendOnce(upstream, request, left(deadlineNanos));
+    if (awaitDispatchPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
+      ApplicationResult result = applications.sendOnce(upstream, request, remainingTime(deadlineNanos));
       if (result instanceof ApplicationResult.Unknown) {
-        result = lookUp(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
+        result = lookUpOutcome(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
       }
       own = result instanceof Answered answered ? answered : null;
-      var unused = call.finish(outcome(result));
+      var unused = call.finish(toDispatchOutcome(result));
     }
-    return answer(await(call.reply()), own, () -> lookUp(route, upstream, key));
+    return toResponse(awaitReply(call.reply()), own, () -> lookUpOutcome(route, upstream, key));
   }
 
-  private static Answered answer(KeyedResponse reply, @Nullable Answered own, LookUp lookUp) {
+  private static Answered toResponse(KeyedResponse reply, @Nullable Answered own, OutcomeLookup lookUp) {
     return switch (reply) {
       case KeyedResponse.Ran r -> {
         if (own == null) {
-          throw unknown();
+          throw outcomeUnknown();
         }
         yield own;
       }
-      case KeyedResponse.Recorded r -> recorded(r);
+      case KeyedResponse.Recorded r -> recordedResponse(r);
       case KeyedResponse.NotRun r ->
           throw new RefusedException(r.code(), "not run: " + r.code().wireName(), r.retryAfter());
       case KeyedResponse.InProgress r ->
           throw new RefusedException(
               ErrorCode.IN_PROGRESS, "the first call with this key is in progress", r.retryAfter());
-      case KeyedResponse.OutcomeUnknown r -> lookUp.find().orElseThrow(KeyedWork::unknown);
+      case KeyedResponse.OutcomeUnknown r -> lookUp.find().orElseThrow(KeyedRequestExecutor::outcomeUnknown);
       case KeyedResponse.KeyReused r ->
           throw new MustardlatchException(
               ErrorCode.IDEMPOTENCY_KEY_REUSED, "the key was used for another request");
@@ -95,10 +95,10 @@
     };
   }
 
-  private static Answered recorded(KeyedResponse.Recorded recorded) {
+  private static Answered recordedResponse(KeyedResponse.Recorded recorded) {
     String text = recorded.response();
     if (text != null) {
-      return RecordedAnswer.decode(recorded.status(), text);
+      return RecordedResponseCodec.decode(recorded.status(), text);
     }
     String note = "{\"note\":\"it ran; its answer was too long or is too old to be repeated\"}";
     return new Answered(
@@ -107,35 +107,35 @@
         ByteString.encodeUtf8(note));
   }
 
-  private static DispatchOutcome outcome(ApplicationResult result) {
+  private static DispatchOutcome toDispatchOutcome(ApplicationResult result) {
     return switch (result) {
-      case Answered a -> new DispatchOutcome.Completed(a.status(), RecordedAnswer.encode(a));
+      case Answered a -> new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
       case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
       case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
   }
 
   /** Asks the service for the outcome of a key, where the route names a path for that. */
-  private Optional<Answered> lookUp(Route route, UpstreamId upstream, String key) {
+  private Optional<Answered> lookUpOutcome(Route route, UpstreamId upstream, String key) {
     String path = route.outcomePath();
     if (path == null) {
       return Optional.empty();
     }
     ApplicationRequest request =
         new ApplicationRequest("GET", path + "/" + key, Map.of(), ByteString.EMPTY);
-    return applications.send(upstream, request, LOOK_UP_LIMIT) instanceof Answered answered
+    return applications.send(upstream, request, LOOKUP_TIMEOUT) instanceof Answered answered
             && answered.status() / 100 == 2
         ? Optional.of(answered)
         : Optional.empty();
   }
 
-  private static boolean awaitPermission(KeyedCall call, CallerConnection connection)
+  private static boolean awaitDispatchPermission(KeyedCall call, CallerConnection connection)
       throws InterruptedException {
     while (true) {
       try {
-        return call.mayDispatch().get(CONNECTION_CHECK.toMillis(), TimeUnit.MILLISECONDS);
+        return call.mayDispatch().get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
-        if (connection.isGone()) {
+        if (connection.isClosed()) {
           call.callerGone();
           return false;
         }
@@ -145,7 +145,7 @@
     }
   }
 
-  private static KeyedResponse await(CompletableFuture<KeyedResponse> reply)
+  private static KeyedResponse awaitReply(CompletableFuture<KeyedResponse> reply)
       throws InterruptedException {
     try {
       return reply.get();
@@ -154,7 +154,7 @@
     }
   }
 
-  private static String key(@Nullable String header) {
+  private static String requireKey(@Nullable String header) {
     if (header == null || !header.matches("[\\x21-\\x7e]{1," + MAX_KEY_CHARS + "}")) {
       throw new MustardlatchException(
           ErrorCode.INVALID_ARGUMENT,
@@ -164,7 +164,7 @@
     return header;
   }
 
-  private static String digest(ApplicationRequest request) {
+  private static String requestDigest(ApplicationRequest request) {
     return Hashing.sha256()
         .newHasher()
         .putString(request.method() + " " + request.pathAndQuery() + "\n", StandardCharsets.UTF_8)
@@ -173,17 +173,17 @@
         .toString();
   }
 
-  private static Duration left(long deadlineNanos) {
+  private static Duration remainingTime(long deadlineNanos) {
     return Duration.ofNanos(Math.max(1_000_000, deadlineNanos - System.nanoTime()));
   }
 
-  private static MustardlatchException unknown() {
+  private static MustardlatchException outcomeUnknown() {
     return new MustardlatchException(
         ErrorCode.OUTCOME_UNKNOWN,
         "it may have run and will not run again under this key; repeat with the same key");
   }
 
-  private interface LookUp {
+  private interface OutcomeLookup {
     Optional<Answered> find();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -25,60 +25,60 @@
 /** Takes calls of pass-through routes to application services. */
 final class PassThroughHandler {
   /** Look-ups answer in milliseconds; a slower service is skipped while another may answer. */
-  private static final Duration ATTEMPT_LIMIT = Duration.ofSeconds(3);
+  private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
 
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
-  private static final int UNAVAILABLE = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
-  private final Gate gate;
+  private final ReadinessCheck readiness;
   private final ManifestInForce manifest;
-  private final WorkspaceLimits limits;
+  private final WorkspaceLimiter limiter;
   private final ApplicationCalls applications;
-  private final KeyedWork keyed;
-  private final RetryAllowance retries = new RetryAllowance();
-  private final AtomicInteger turn = new AtomicInteger();
+  private final KeyedRequestExecutor keyedRequests;
+  private final PassThroughRetryBudget retryBudget = new PassThroughRetryBudget();
+  private final AtomicInteger roundRobinCounter = new AtomicInteger();
 
   PassThroughHandler(
-      Gate gate,
+      ReadinessCheck gate,
       ManifestInForce manifest,
-      WorkspaceLimits limits,
+      WorkspaceLimiter limits,
       ApplicationCalls applications,
-      KeyedWork keyed) {
-    this.gate = gate;
+      KeyedRequestExecutor keyed) {
+    this.readiness = gate;
     this.manifest = manifest;
-    this.limits = limits;
+    this.limiter = limits;
     this.applications = applications;
-    this.keyed = keyed;
+    this.keyedRequests = keyed;
   }
 
   void handle(Context ctx, String requestId) throws IOException, InterruptedException {
-    gate.check();
+    readiness.requireAccepting();
     Manifest inForce = manifest.orThrow();
     Workspace workspace = Authenticator.authenticate(inForce, ctx.header("Authorization"));
-    Route route = RouteTable.find(inForce, ctx.method().name(), ctx.path());
-    try (WorkspaceLimits.Place place = limits.enter(workspace)) {
-      ApplicationRequest request = request(ctx, requestId, workspace);
-      List<UpstreamId> upstreams = inTurn(inForce, route);
+    Route route = RouteMatcher.find(inForce, ctx.method().name(), ctx.path());
+    try (WorkspaceLimiter.Slot place = limiter.acquire(workspace)) {
+      ApplicationRequest request = createRequest(ctx, requestId, workspace);
+      List<UpstreamId> upstreams = rotateUpstreams(inForce, route);
       Answered answer =
           route.idempotent()
-              ? repeatable(upstreams, request, inForce.limits().retryBudgetFraction())
-              : keyed.run(ctx, workspace, route, upstreams.get(0), request);
-      write(ctx, answer);
+              ? sendWithRetries(upstreams, request, inForce.limits().retryBudgetFraction())
+              : keyedRequests.execute(ctx, workspace, route, upstreams.get(0), request);
+      writeResponse(ctx, answer);
     }
   }
 
-  private Answered repeatable(
+  private Answered sendWithRetries(
       List<UpstreamId> upstreams, ApplicationRequest request, double retryFraction) {
-    retries.firstAttempt(retryFraction);
+    retryBudget.deposit(retryFraction);
     String reason = "";
     for (int i = 0; i < upstreams.size(); i++) {
-      if (i > 0 && !retries.take()) {
+      if (i > 0 && !retryBudget.tryAcquire()) {
         break;
       }
-      ApplicationResult result = applications.send(upstreams.get(i), request, ATTEMPT_LIMIT);
+      ApplicationResult result = applications.send(upstreams.get(i), request, ATTEMPT_TIMEOUT);
       switch (result) {
         case Answered a -> {
-          if (a.status() != UNAVAILABLE || i == upstreams.size() - 1) {
+          if (a.status() != SERVICE_UNAVAILABLE || i == upstreams.size() - 1) {
             return a;
           }
         }
@@ -93,7 +93,7 @@
   }
 
   /** Returns the upstreams that take new work, each call starting with another one. */
-  private List<UpstreamId> inTurn(Manifest inForce, Route route) {
+  private List<UpstreamId> rotateUpstreams(Manifest inForce, Route route) {
     List<UpstreamId> open =
         route.upstreams().stream()
             .filter(id -> inForce.upstream(id).map(u -> !u.leaving()).orElse(false))
@@ -102,13 +102,13 @@
       throw new MustardlatchException(
           ErrorCode.UPSTREAM_UNAVAILABLE, "not run: all upstreams of the route are leaving");
     }
-    int first = Math.floorMod(turn.getAndIncrement(), open.size());
+    int first = Math.floorMod(roundRobinCounter.getAndIncrement(), open.size());
     return IntStream.range(0, open.size())
         .mapToObj(i -> open.get((first + i) % open.size()))
         .toList();
   }
 
-  private static ApplicationRequest request(Context ctx, String requestId, Workspace workspace)
+  private static ApplicationRequest createRequest(Context ctx, String requestId, Workspace workspace)
       throws IOException {
     Map<String, List<String>> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
     ctx.headerMap()
@@ -126,7 +126,7 @@
         ctx.method().name(), path, headers, ByteString.of(BodyReader.read(ctx)));
   }
 
-  private static void write(Context ctx, Answered answer) {
+  private static void writeResponse(Context ctx, Answered answer) {
     ctx.status(answer.status());
     answer.headers().forEach((name, values) -> values.forEach(v -> ctx.res().addHeader(name, v)));
     ctx.result(answer.body().toByteArray());
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/Gate.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ReadinessCheck.java
@@ -5,12 +5,12 @@
 import org.mustardlatch.daemon.node.NodeState;
 
 /** Refuses requests before the node is ready and after it stopped taking new ones. */
-final class Gate {
+final class ReadinessCheck {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final NodeState state;
 
-  Gate(NodeState state) {
+  ReadinessCheck(NodeState state) {
     this.state = state;
   }
 
@@ -19,7 +19,7 @@
    *
    * @throws RefusedException with {@link ErrorCode#NOT_READY} or {@link ErrorCode#DRAINING}
    */
-  void check() {
+  void requireAccepting() {
     switch (state.phase()) {
       case READY, DRAINING -> {}
       case STARTING ->
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedAnswer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedResponseCodec.java
@@ -12,10 +12,10 @@
 import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
 
 /** Puts the answer of a service into a record's text and back: content type and body. */
-final class RecordedAnswer {
+final class RecordedResponseCodec {
   private static final String CONTENT_TYPE = "Content-Type";
 
-  private RecordedAnswer() {}
+  private RecordedResponseCodec() {}
 
   /** Returns the text, or null when the answer is too long for a record or no UTF-8 text. */
   static @Nullable String encode(Answered answer) {
@@ -37,7 +37,7 @@
 
   /** Returns the answer that a text was made of. */
   static Answered decode(int status, String text) {
-    ObjectNode frame = CallerJson.readObject(text.getBytes(StandardCharsets.UTF_8));
+    ObjectNode frame = StrictJson.readObject(text.getBytes(StandardCharsets.UTF_8));
     return new Answered(
         status,
         Map.of(CONTENT_TYPE, List.of(frame.path("type").asText())),
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRates.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRateLimiter.java
@@ -4,7 +4,7 @@
 
 /** The rates of requests that workspaces may send over the whole fleet. */
 @FunctionalInterface
-public interface RequestRates {
+public interface RequestRateLimiter {
   /** Takes one request off the rate of a workspace; may block for a lease, well under 1 s. */
-  boolean take(WorkspaceId workspace);
+  boolean tryAcquire(WorkspaceId workspace);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RouteTable.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RouteMatcher.java
@@ -7,8 +7,8 @@
 import org.mustardlatch.core.manifest.Route;
 
 /** Finds the pass-through route of a call: the one with the longest path that covers it. */
-final class RouteTable {
-  private RouteTable() {}
+final class RouteMatcher {
+  private RouteMatcher() {}
 
   /**
    * Returns the route.
@@ -17,7 +17,7 @@
    */
   static Route find(Manifest manifest, String method, String path) {
     return manifest.routes().stream()
-        .filter(r -> covers(r.path(), path) && r.methods().contains(method))
+        .filter(r -> isPathPrefix(r.path(), path) && r.methods().contains(method))
         .max(Comparator.comparingInt(r -> r.path().length()))
         .orElseThrow(
             () ->
@@ -25,7 +25,7 @@
                     ErrorCode.UNKNOWN_ROUTE, "no route for %s %s".formatted(method, path)));
   }
 
-  private static boolean covers(String prefix, String path) {
+  private static boolean isPathPrefix(String prefix, String path) {
     return path.equals(prefix) || path.startsWith(prefix.endsWith("/") ? prefix : prefix + "/");
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerJson.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/StrictJson.java
@@ -13,7 +13,7 @@
 import org.mustardlatch.core.error.MustardlatchException;
 
 /** Strict JSON: no duplicate keys and nothing after the value. */
-final class CallerJson {
+final class StrictJson {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -21,7 +21,7 @@
           .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
           .build();
 
-  private CallerJson() {}
+  private StrictJson() {}
 
   /**
    * Reads an object.
@@ -52,7 +52,7 @@
   }
 
   /** Returns text that is the same for equal values, whatever the order of their keys was. */
-  static byte[] canonical(JsonNode node) {
+  static byte[] toCanonicalBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(MAPPER.treeToValue(node, Object.class));
     } catch (JsonProcessingException e) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimits.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
@@ -12,14 +12,14 @@
  * Limits what a workspace sends: its rate over the whole fleet, and the requests in progress on
  * this node.
  */
-final class WorkspaceLimits {
+final class WorkspaceLimiter {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final ConcurrentMap<WorkspaceId, AtomicInteger> inProgress = new ConcurrentHashMap<>();
-  private final RequestRates rates;
+  private final RequestRateLimiter rateLimiter;
 
-  WorkspaceLimits(RequestRates rates) {
-    this.rates = rates;
+  WorkspaceLimiter(RequestRateLimiter rates) {
+    this.rateLimiter = rates;
   }
 
   /**
@@ -28,9 +28,9 @@
    * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} when none is free or the rate is
    *     used up
    */
-  Place enter(Workspace workspace) {
-    Place place = takePlace(workspace);
-    if (!rates.take(workspace.id())) {
+  Slot acquire(Workspace workspace) {
+    Slot place = acquireSlot(workspace);
+    if (!rateLimiter.tryAcquire(workspace.id())) {
       place.close();
       throw new RefusedException(
           ErrorCode.RATE_LIMITED,
@@ -41,7 +41,7 @@
     return place;
   }
 
-  private Place takePlace(Workspace workspace) {
+  private Slot acquireSlot(Workspace workspace) {
     AtomicInteger count = inProgress.computeIfAbsent(workspace.id(), id -> new AtomicInteger());
     if (count.incrementAndGet() > workspace.maxConcurrent()) {
       count.decrementAndGet();
@@ -56,7 +56,7 @@
 
   /** A place for one request. */
   @FunctionalInterface
-  interface Place extends AutoCloseable {
+  interface Slot extends AutoCloseable {
     @Override
     void close();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeViews.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -18,23 +18,23 @@
 import org.mustardlatch.daemon.upstream.EngineCalls;
 
 /** What operators see of the state of a node. */
-public final class NodeViews {
+public final class NodeInspector {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Settings settings;
   private final NodeState state;
   private final ManifestInForce manifest;
-  private final Membership members;
+  private final Membership membership;
   private final RoutingService routing;
   private final EngineCalls engines;
-  private final Supplier<Map<String, Object>> internals;
+  private final Supplier<Map<String, Object>> componentStates;
 
   /**
    * Creates views of the given parts.
    *
    * @param internals returns the state of the parts that decide, for a dump; may block for 2 s
    */
-  public NodeViews(
+  public NodeInspector(
       Settings settings,
       NodeState state,
       ManifestInForce manifest,
@@ -45,10 +45,10 @@
     this.settings = settings;
     this.state = state;
     this.manifest = manifest;
-    this.members = members;
+    this.membership = members;
     this.routing = routing;
     this.engines = engines;
-    this.internals = internals;
+    this.componentStates = internals;
   }
 
   /** Returns the summary. */
@@ -56,14 +56,14 @@
     ObjectNode status = JsonNodeFactory.instance.objectNode();
     status.put("host", settings.host().value());
     status.put("region", settings.region().value()).put("zone", settings.zone().value());
-    status.put("incarnation", members.incarnation());
+    status.put("incarnation", membership.incarnation());
     status.put("phase", state.phase().name().toLowerCase(Locale.ROOT));
     status.put("ready", state.phase() == NodeState.Phase.READY);
     status.put("revision", manifest.revision());
     manifest.current().ifPresent(m -> status.put("digest", m.digest()));
     status.put("requests_in_progress", routing.inProgress());
     ArrayNode list = status.putArray("members");
-    members
+    membership
         .live()
         .forEach(
             m ->
@@ -81,7 +81,7 @@
     dump.put("engine_calls_in_progress", engines.inProgress());
     ArrayNode requests = dump.putArray("requests");
     routing.requests().forEach(id -> requests.add(id.value()));
-    internals.get().forEach((part, value) -> dump.set(part, JSON.valueToTree(value)));
+    componentStates.get().forEach((part, value) -> dump.set(part, JSON.valueToTree(value)));
     manifest.current().ifPresent(m -> dump.put("manifest", m.text()));
     return dump;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
@@ -24,7 +24,7 @@
 public final class OperatorApi {
   private final NodeState state;
   private final ManifestInForce manifest;
-  private final NodeViews views;
+  private final NodeInspector inspector;
   private final ManifestPublisher publisher;
   private final Runnable drain;
   private final PrometheusMeterRegistry metrics;
@@ -39,17 +39,17 @@
       SocketAddress address,
       NodeState state,
       ManifestInForce manifest,
-      NodeViews views,
+      NodeInspector views,
       ManifestPublisher publisher,
       Runnable drain,
       PrometheusMeterRegistry metrics) {
     this.state = state;
     this.manifest = manifest;
-    this.views = views;
+    this.inspector = views;
     this.publisher = publisher;
     this.drain = drain;
     this.metrics = metrics;
-    this.server = new HttpServer(address, this::routes);
+    this.server = new HttpServer(address, this::registerRoutes);
   }
 
   /** Starts listening. */
@@ -67,21 +67,21 @@
     return server.port();
   }
 
-  private void routes(RoutesConfig routes) {
+  private void registerRoutes(RoutesConfig routes) {
     routes.get("/metrics", ctx -> ctx.contentType("text/plain").result(metrics.scrape()));
     routes.get("/healthz", ctx -> ctx.result("ok"));
-    routes.get("/readyz", this::ready);
-    routes.get("/status", ctx -> json(ctx, views.status()));
-    routes.get("/dump", ctx -> json(ctx, views.dump()));
+    routes.get("/readyz", this::getReadiness);
+    routes.get("/status", ctx -> writeJson(ctx, inspector.status()));
+    routes.get("/dump", ctx -> writeJson(ctx, inspector.dump()));
     routes.get("/explain/{id}", this::explain);
-    routes.get("/manifest", this::manifestText);
-    routes.post("/manifest", this::publish);
+    routes.get("/manifest", this::getManifest);
+    routes.post("/manifest", this::publishManifest);
     routes.post("/drain", this::startDrain);
-    routes.exception(MustardlatchException.class, OperatorApi::answerError);
-    routes.exception(Exception.class, OperatorApi::answerFault);
+    routes.exception(MustardlatchException.class, OperatorApi::writeError);
+    routes.exception(Exception.class, OperatorApi::writeInternalError);
   }
 
-  private void ready(Context ctx) {
+  private void getReadiness(Context ctx) {
     if (state.phase() == NodeState.Phase.READY) {
       ctx.result("ready");
     } else {
@@ -91,7 +91,7 @@
 
   private void explain(Context ctx) {
     String id = ctx.pathParam("id");
-    List<ExplainLog.Entry> entries = views.explain(new RequestId(id));
+    List<ExplainLog.Entry> entries = inspector.explain(new RequestId(id));
     if (entries.isEmpty()) {
       throw new MustardlatchException(
           ErrorCode.UNKNOWN_REQUEST, "request " + id + " is not known on this node");
@@ -106,10 +106,10 @@
           .put("rule", entry.rule())
           .put("detail", entry.detail());
     }
-    json(ctx, answer);
+    writeJson(ctx, answer);
   }
 
-  private void manifestText(Context ctx) {
+  private void getManifest(Context ctx) {
     AppliedManifest applied =
         manifest
             .current()
@@ -119,7 +119,7 @@
     ctx.contentType("application/toml").result(applied.text());
   }
 
-  private void publish(Context ctx) {
+  private void publishManifest(Context ctx) {
     ctx.queryParamMap()
         .keySet()
         .forEach(
@@ -129,11 +129,11 @@
                     ErrorCode.UNKNOWN_FIELD, "parameter \"" + key + "\" does not exist");
               }
             });
-    long revision = publisher.publish(ctx.body(), base(ctx));
-    json(ctx, JsonNodeFactory.instance.objectNode().put("revision", revision));
+    long revision = publisher.publish(ctx.body(), baseRevision(ctx));
+    writeJson(ctx, JsonNodeFactory.instance.objectNode().put("revision", revision));
   }
 
-  private static long base(Context ctx) {
+  private static long baseRevision(Context ctx) {
     String base = String.valueOf(ctx.queryParam("base"));
     try {
       return Long.parseUnsignedLong(base);
@@ -149,25 +149,25 @@
   private void startDrain(Context ctx) {
     drain.run();
     ctx.status(202);
-    json(ctx, JsonNodeFactory.instance.objectNode().put("draining", true));
+    writeJson(ctx, JsonNodeFactory.instance.objectNode().put("draining", true));
   }
 
-  private static void json(Context ctx, ObjectNode body) {
+  private static void writeJson(Context ctx, ObjectNode body) {
     ctx.contentType("application/json").result(body.toString());
   }
 
-  private static void answerError(MustardlatchException error, Context ctx) {
+  private static void writeError(MustardlatchException error, Context ctx) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.putObject("error")
         .put("code", error.code().wireName())
         .put("message", error.getMessage())
         .put("remedy", "see docs/operator-guide.md for this code");
     ctx.status(error.code().httpStatus());
-    json(ctx, body);
+    writeJson(ctx, body);
   }
 
-  private static void answerFault(Exception fault, Context ctx) {
+  private static void writeInternalError(Exception fault, Context ctx) {
     EventLog.log(LogEvent.UNEXPECTED_ERROR, ctx.path(), fault);
-    answerError(new MustardlatchException(ErrorCode.INTERNAL, "internal error; see the log"), ctx);
+    writeError(new MustardlatchException(ErrorCode.INTERNAL, "internal error; see the log"), ctx);
   }
 }
