--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/BodyReader.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/BodyReader.java
@@ -5,17 +5,20 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** Reads bodies up to a limit, whether or not their length was announced. */
+/** Reads request bodies up to a size limit, with or without a {@code Content-Length} header. */
 final class BodyReader {
-  /** A prompt of 128,000 tokens takes about 0.5 MB; JSON escapes can make it 6 times as long. */
+  /**
+   * Largest accepted body. A prompt of 128,000 tokens takes about 0.5 MB; JSON escapes can make it
+   * 6 times as long.
+   */
   static final int MAX_BYTES = 4 << 20;
 
   private BodyReader() {}
 
   /**
-   * Reads the body.
+   * Reads the whole body of a request.
    *
-   * @throws MustardlatchException with {@link ErrorCode#BODY_TOO_LARGE} when it is longer than
+   * @throws MustardlatchException with {@link ErrorCode#BODY_TOO_LARGE} if the body is longer than
    *     {@link #MAX_BYTES}
    */
   static byte[] read(Context ctx) throws IOException {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
@@ -25,7 +25,10 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The HTTP interface for callers. */
+/**
+ * HTTP server for callers: generation requests, the list of models and pass-through routes. Each
+ * request runs on a virtual thread of its own.
+ */
 public final class CallerApi {
   private static final String REQUEST_ID_HEADER = "X-Request-Id";
   private static final List<HandlerType> PASS_THROUGH_METHODS =
@@ -44,7 +47,7 @@
   private final HttpServer server;
   private final AtomicInteger requestsInProgress = new AtomicInteger();
 
-  /** Creates the interface; it does not listen yet. */
+  /** Creates the server without listening; {@link #start} opens the port. */
   public CallerApi(
       SocketAddress address,
       NodeState state,
@@ -52,16 +55,20 @@
       RoutingService routing,
       LedgerService ledger,
       ApplicationCalls applications,
-      RequestRateLimiter rates,
+      RequestRateLimiter rateLimiter,
       RequestMetrics metrics) {
     this.manifest = manifest;
     this.metrics = metrics;
-    ReadinessCheck gate = new ReadinessCheck(state);
-    WorkspaceLimiter limits = new WorkspaceLimiter(rates);
-    this.generationHandler = new GenerationHandler(gate, manifest, limits, routing, metrics);
+    ReadinessCheck readiness = new ReadinessCheck(state);
+    WorkspaceLimiter limiter = new WorkspaceLimiter(rateLimiter);
+    this.generationHandler = new GenerationHandler(readiness, manifest, limiter, routing, metrics);
     this.passThroughHandler =
         new PassThroughHandler(
-            gate, manifest, limits, applications, new KeyedRequestExecutor(ledger, applications));
+            readiness,
+            manifest,
+            limiter,
+            applications,
+            new KeyedRequestExecutor(ledger, applications));
     this.server = new HttpServer(address, this::registerRoutes);
   }
 
@@ -75,12 +82,12 @@
     server.stop();
   }
 
-  /** Returns the number of requests whose answers are not yet written. */
+  /** Returns the number of generation and pass-through requests that are not yet complete. */
   public int requestsInProgress() {
     return requestsInProgress.get();
   }
 
-  /** Returns the port that it listens on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.port();
   }
@@ -94,11 +101,13 @@
       routes.addHttpHandler(method, "/*", this::handlePassThrough);
     }
     routes.exception(MustardlatchException.class, this::writeError);
+    // The connection to the caller is broken, so no error response can be sent.
     routes.exception(IOException.class, (e, ctx) -> {});
     routes.exception(Exception.class, this::writeInternalError);
   }
 
-  private void handleGeneration(Context ctx, boolean chat) throws IOException, InterruptedException {
+  private void handleGeneration(Context ctx, boolean chat)
+      throws IOException, InterruptedException {
     trackInProgress(() -> generationHandler.handle(ctx, new RequestId(requestId(ctx)), chat));
   }
 
@@ -106,10 +115,10 @@
     trackInProgress(() -> passThroughHandler.handle(ctx, requestId(ctx)));
   }
 
-  private void trackInProgress(RequestTask work) throws IOException, InterruptedException {
+  private void trackInProgress(RequestTask task) throws IOException, InterruptedException {
     requestsInProgress.incrementAndGet();
     try {
-      work.run();
+      task.run();
     } finally {
       requestsInProgress.decrementAndGet();
     }
@@ -120,19 +129,19 @@
   }
 
   private void listModels(Context ctx) {
-    Manifest inForce = manifest.orThrow();
-    Authenticator.authenticate(inForce, ctx.header("Authorization"));
-    ObjectNode answer = JsonNodeFactory.instance.objectNode().put("object", "list");
-    ArrayNode data = answer.putArray("data");
-    inForce
+    Manifest activeManifest = manifest.orThrow();
+    Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
+    ObjectNode response = JsonNodeFactory.instance.objectNode().put("object", "list");
+    ArrayNode data = response.putArray("data");
+    activeManifest
         .models()
         .forEach(
             m ->
                 data.addObject()
                     .put("id", m.id().value())
                     .put("object", "model")
-                    .put("owned_by", inForce.name()));
-    ctx.contentType("application/json").result(answer.toString());
+                    .put("owned_by", activeManifest.name()));
+    ctx.contentType("application/json").result(response.toString());
   }
 
   private void writeError(MustardlatchException error, Context ctx) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerConnection.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerConnection.java
@@ -9,10 +9,11 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Tells whether the caller of a request in progress has closed its connection. Jetty reads nothing
- * between the end of a request and its answer, so a caller that leaves before the first token would
- * be noticed only by a failed write. Must be used on the thread of the request's handler, because
- * Jetty itself reads from the connection once the handler has returned.
+ * Detects whether the caller of a request in progress has closed its connection. Jetty does not
+ * read from the connection between the end of a request and its response, so without this check a
+ * caller that disconnects before the first token is detected only by a failed write. Must be used
+ * on the thread of the request's handler, because Jetty itself reads from the connection once the
+ * handler has returned.
  */
 final class CallerConnection {
   private static final int PEEK_BYTES = 64;
@@ -28,7 +29,7 @@
     endPoint = connection.getEndPoint();
   }
 
-  /** Returns whether the connection is closed by the caller or broken; does not block. */
+  /** Returns whether the caller has closed the connection or it is broken. Does not block. */
   boolean isClosed() {
     if (!endPoint.isOpen() || endPoint.isInputShutdown()) {
       return true;
@@ -37,7 +38,7 @@
     try {
       int filled = endPoint.fill(peek);
       if (filled > 0 && connection instanceof Connection.UpgradeTo reader) {
-        // Bytes of a next request on the same connection; the parser must see them later.
+        // These bytes belong to the next request on the connection; pass them to the HTTP parser.
         reader.onUpgradeTo(peek);
       }
       return filled < 0;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionFormatter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionFormatter.java
@@ -8,8 +8,9 @@
 import org.mustardlatch.daemon.routing.GenerationInput;
 
 /**
- * Makes the JSON of answers. Id, model and time are the router's own, so that an answer that a
- * second engine continues looks like one answer.
+ * Formats the JSON of one completion response in the OpenAI format. Id, model and creation time
+ * come from the router and not from the engine, so that the caller sees one consistent response
+ * also when a second engine continues the output of a failed one.
  */
 final class CompletionFormatter {
   private final String id;
@@ -21,14 +22,18 @@
     this.input = exchange.input();
   }
 
-  /** Returns an event of a stream. */
+  /** Returns the data of a stream event that carries one chunk of output. */
   String formatChunk(Chunk chunk) {
     ObjectNode event = createObject(input.chat() ? "chat.completion.chunk" : "text_completion");
     event.putArray("choices").add(chunk.choice());
     return event.toString();
   }
 
-  /** Returns the event that tells the usage at the end of a stream. */
+  /**
+   * Returns the data of the event that reports token usage at the end of a stream.
+   *
+   * @param tokens number of generated tokens
+   */
   String formatUsage(int tokens) {
     ObjectNode event = createObject(input.chat() ? "chat.completion.chunk" : "text_completion");
     event.putArray("choices");
@@ -36,18 +41,22 @@
     return event.toString();
   }
 
-  /** Returns a whole answer. */
+  /**
+   * Returns the body of a response that is not streamed.
+   *
+   * @param tokens number of generated tokens
+   */
   String formatCompletion(String text, String finishReason, int tokens) {
-    ObjectNode answer = createObject(input.chat() ? "chat.completion" : "text_completion");
-    ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
+    ObjectNode completion = createObject(input.chat() ? "chat.completion" : "text_completion");
+    ObjectNode choice = completion.putArray("choices").addObject().put("index", 0);
     if (input.chat()) {
       choice.putObject("message").put("role", "assistant").put("content", text);
     } else {
       choice.put("text", text);
     }
     choice.put("finish_reason", finishReason);
-    putUsage(answer, tokens);
-    return answer.toString();
+    putUsage(completion, tokens);
+    return completion.toString();
   }
 
   private ObjectNode createObject(String object) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
@@ -11,9 +11,12 @@
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.SinkEvent;
 
-/** Takes the answer from a sink and writes it to the caller, as a stream or as a whole. */
+/**
+ * Reads the output of one generation request from its {@link ResponseSink} and writes it to the
+ * caller, as server-sent events or as one JSON body. Used only on the request's handler thread.
+ */
 final class CompletionWriter {
-  /** A caller that leaves is noticed within this time while no token comes. */
+  /** Longest time until a closed caller connection is detected while no token arrives. */
   private static final Duration CONNECTION_CHECK_INTERVAL = Duration.ofMillis(250);
 
   private final Context ctx;
@@ -32,11 +35,11 @@
   }
 
   /**
-   * Writes the answer.
+   * Writes the response and blocks until it is complete or has failed.
    *
-   * @return how it ended
-   * @throws RefusedException when the request failed before any byte was written
-   * @throws IOException when the caller is gone
+   * @return whether the output was complete
+   * @throws RefusedException if the request failed before any byte was written
+   * @throws IOException if the caller has disconnected
    */
   WriteOutcome write() throws IOException, InterruptedException {
     SinkEvent first = awaitNext();
@@ -46,7 +49,7 @@
     return exchange.input().stream() ? writeStream(first) : writeCompletion(first);
   }
 
-  /** Returns the number of tokens that were written or collected. */
+  /** Returns the number of generated tokens that were written or collected so far. */
   int tokenCount() {
     return tokenCount;
   }
@@ -99,11 +102,14 @@
     }
   }
 
-  /** Returns the next event; flushes only when none is waiting. */
+  /**
+   * Returns the next event. Flushes the stream only if no event is queued, so that several queued
+   * events are sent with one flush.
+   */
   private SinkEvent nextFlushingIfIdle(OutputStream out) throws IOException, InterruptedException {
-    SinkEvent waiting = sink.next(Duration.ZERO);
-    if (waiting != null) {
-      return waiting;
+    SinkEvent queued = sink.next(Duration.ZERO);
+    if (queued != null) {
+      return queued;
     }
     out.flush();
     return awaitNext();
@@ -124,14 +130,16 @@
     out.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String finishReasonOr(Chunk chunk, String otherwise) {
+  private static String finishReasonOr(Chunk chunk, String defaultReason) {
     @Nullable String reason = chunk.finishReason();
-    return reason == null ? otherwise : reason;
+    return reason == null ? defaultReason : reason;
   }
 
-  /** How an answer ended. */
+  /** Result of writing a response. */
   enum WriteOutcome {
+    /** The whole output was written. */
     COMPLETE,
+    /** The request failed mid-stream; the stream ends with an error event. */
     FAILED
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
@@ -9,38 +9,50 @@
 import org.mustardlatch.core.model.Fingerprint;
 import org.mustardlatch.daemon.routing.GenerationInput;
 
-/** Hashes of a request's content, the same on every node. */
+/** Computes hashes of a request's content. All nodes compute the same hash for equal content. */
 final class ContentHashes {
-  /** 256 tokens at an estimated 4 bytes. */
+  /** Size of a prefix block: 256 tokens at an estimated 4 bytes each. */
   private static final int PREFIX_BLOCK_BYTES = 1024;
 
   private static final HashFunction BLOCK_HASH = Hashing.farmHashFingerprint64();
 
   /**
-   * Fields that change how an answer is delivered or accounted, but not what an engine computes.
+   * Fields that affect how a response is delivered or accounted, but not what an engine computes.
    */
   private static final List<String> IGNORED_FIELDS =
       List.of("stream", "stream_options", "user", "metadata", "store", "service_tier");
 
   private ContentHashes() {}
 
-  /** Returns SHA-256 of model, prompt and sampling parameters. */
+  /** Returns the SHA-256 digest of model, prompt and sampling parameters. */
   static Fingerprint fingerprint(GenerationInput input) {
     ObjectNode content = input.body().objectNode();
     content.setAll(input.body());
     content.remove(IGNORED_FIELDS);
-    return new Fingerprint(Hashing.sha256().hashBytes(StrictJson.toCanonicalBytes(content)).toString());
+    return new Fingerprint(
+        Hashing.sha256().hashBytes(StrictJson.toCanonicalBytes(content)).toString());
   }
 
-  /** Returns a hash for each whole leading block; each covers all blocks before it. */
+  /**
+   * Returns one hash per full block from the start of the prompt. Each hash covers the model and
+   * all blocks up to and including its own. A partial last block has no hash.
+   */
   static List<Long> prefixBlockHashes(GenerationInput input) {
     String field = input.chat() ? "messages" : "prompt";
     String text = input.body().path(field).toString();
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     List<Long> blocks = new ArrayList<>();
     long hash = BLOCK_HASH.hashString(input.model().value(), StandardCharsets.UTF_8).asLong();
-    for (int at = 0; at + PREFIX_BLOCK_BYTES <= bytes.length; at += PREFIX_BLOCK_BYTES) {
-      hash = BLOCK_HASH.newHasher().putLong(hash).putBytes(bytes, at, PREFIX_BLOCK_BYTES).hash().asLong();
+    for (int offset = 0;
+        offset + PREFIX_BLOCK_BYTES <= bytes.length;
+        offset += PREFIX_BLOCK_BYTES) {
+      hash =
+          BLOCK_HASH
+              .newHasher()
+              .putLong(hash)
+              .putBytes(bytes, offset, PREFIX_BLOCK_BYTES)
+              .hash()
+              .asLong();
       blocks.add(hash);
     }
     return blocks;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorResponseWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorResponseWriter.java
@@ -7,13 +7,17 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** Writes errors in the form that OpenAI clients understand. */
+/** Writes errors in the JSON format that OpenAI clients expect. */
 public final class ErrorResponseWriter {
+  /** Lowest HTTP status of errors that are reported as {@code server_error}. */
   private static final int SERVER_ERROR = 500;
 
   private ErrorResponseWriter() {}
 
-  /** Writes an error as the whole answer, with {@code Retry-After} where coming back is of use. */
+  /**
+   * Writes an error as the whole response. Adds the {@code Retry-After} header if the error
+   * suggests a time for a retry.
+   */
   public static void write(Context ctx, MustardlatchException error) {
     if (error instanceof RefusedException refused && !refused.retryAfter().isZero()) {
       ctx.header("Retry-After", Long.toString(roundUpToSeconds(refused.retryAfter())));
@@ -23,7 +27,7 @@
         .result(toJson(error.code(), String.valueOf(error.getMessage())));
   }
 
-  /** Returns the JSON text of an error. */
+  /** Returns the JSON body of an error. */
   public static String toJson(ErrorCode code, String message) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.putObject("error")
@@ -33,7 +37,7 @@
     return body.toString();
   }
 
-  /** Rounds up, so that nobody comes back too early. */
+  /** Rounds up to whole seconds, at least 1, so that no caller retries too early. */
   private static long roundUpToSeconds(Duration duration) {
     return Math.max(1, duration.plusMillis(999).toSeconds());
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -15,9 +15,15 @@
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.RoutingService;
 
-/** Takes generation requests through all stages. Runs on a virtual thread for each request. */
+/**
+ * Handles generation requests from authentication to the end of the response. Each request runs on
+ * a virtual thread of its own, which blocks until the response is written.
+ */
 final class GenerationHandler {
-  /** The whole answer may take this many times its target before it is of no use. */
+  /**
+   * Final deadline of the whole response as a multiple of its latency target, after which the
+   * response is assumed to be of no use to the caller. {@link #FINAL_DEADLINE_MARGIN} is added.
+   */
   private static final int FINAL_DEADLINE_FACTOR = 4;
 
   private static final Duration FINAL_DEADLINE_MARGIN = Duration.ofSeconds(30);
@@ -29,35 +35,42 @@
   private final RequestMetrics metrics;
 
   GenerationHandler(
-      ReadinessCheck gate,
+      ReadinessCheck readiness,
       ManifestInForce manifest,
-      WorkspaceLimiter limits,
+      WorkspaceLimiter limiter,
       RoutingService routing,
       RequestMetrics metrics) {
-    this.readiness = gate;
+    this.readiness = readiness;
     this.manifest = manifest;
-    this.limiter = limits;
+    this.limiter = limiter;
     this.routing = routing;
     this.metrics = metrics;
   }
 
+  /**
+   * Handles one request and returns when the response is written.
+   *
+   * @throws IOException if the caller has disconnected
+   */
   void handle(Context ctx, RequestId id, boolean chat) throws IOException, InterruptedException {
     readiness.requireAccepting();
-    Manifest inForce = manifest.orThrow();
-    Workspace workspace = Authenticator.authenticate(inForce, ctx.header("Authorization"));
+    Manifest activeManifest = manifest.orThrow();
+    Workspace workspace = Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
     byte[] body = BodyReader.read(ctx);
-    GenerationInput input = GenerationInputParser.parse(body, chat, inForce);
-    try (WorkspaceLimiter.Slot place = limiter.acquire(workspace)) {
-      GenerationRequest request = createRequest(id, workspace, input, body.length, inForce);
+    GenerationInput input = GenerationInputParser.parse(body, chat, activeManifest);
+    try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
+      GenerationRequest request = createRequest(id, workspace, input, body.length, activeManifest);
       routeAndRespond(ctx, new Exchange(request, input, new ResponseSink(metrics.staleChunks())));
     }
   }
 
-  private void routeAndRespond(Context ctx, Exchange exchange) throws IOException, InterruptedException {
+  private void routeAndRespond(Context ctx, Exchange exchange)
+      throws IOException, InterruptedException {
     CompletionWriter writer = new CompletionWriter(ctx, exchange);
     routing.submit(exchange);
     try {
-      metrics.recordResponse(writer.write() == CompletionWriter.WriteOutcome.COMPLETE, writer.tokenCount());
+      metrics.recordResponse(
+          writer.write() == CompletionWriter.WriteOutcome.COMPLETE, writer.tokenCount());
     } catch (IOException | InterruptedException e) {
       routing.callerGone(exchange);
       metrics.recordDisconnect();
@@ -66,10 +79,10 @@
   }
 
   private static GenerationRequest createRequest(
-      RequestId id, Workspace workspace, GenerationInput input, int bytes, Manifest manifest) {
-    long now = System.nanoTime();
+      RequestId id, Workspace workspace, GenerationInput input, int bodyBytes, Manifest manifest) {
+    long nowNanos = System.nanoTime();
     Model model = manifest.model(input.model()).orElseThrow();
-    Duration whole =
+    Duration responseTime =
         model
             .firstTokenTarget()
             .plus(model.tokenGapTarget().multipliedBy(input.maxTokens()))
@@ -81,10 +94,10 @@
         input.model(),
         input.promptTokens(),
         input.maxTokens(),
-        bytes,
+        bodyBytes,
         ContentHashes.prefixBlockHashes(input),
         ContentHashes.fingerprint(input),
-        now + model.firstTokenTarget().toNanos(),
-        now + whole.toNanos());
+        nowNanos + model.firstTokenTarget().toNanos(),
+        nowNanos + responseTime.toNanos());
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationInputParser.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationInputParser.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.daemon.routing.GenerationInput;
 
 /**
- * Checks the body of a generation request. Sampling parameters that the router does not know go to
- * the engine unchanged, because OpenAI clients send many.
+ * Parses and validates the body of a generation request. Sampling parameters that the router does
+ * not interpret are forwarded to the engine unchanged, because OpenAI clients send many.
  */
 final class GenerationInputParser {
   private static final int ESTIMATED_BYTES_PER_TOKEN = 4;
@@ -22,9 +22,11 @@
   private GenerationInputParser() {}
 
   /**
-   * Reads a body.
+   * Parses a body.
    *
-   * @throws MustardlatchException with a code of status 400 or 404 that names the wrong field
+   * @param chat whether the body is a chat completion request
+   * @throws MustardlatchException with a code of HTTP status 400 or 404; the message names the
+   *     invalid field
    */
   static GenerationInput parse(byte[] bytes, boolean chat, Manifest manifest) {
     ObjectNode body = StrictJson.readObject(bytes);
@@ -36,7 +38,7 @@
     if (promptTokens > model.maxPromptTokens()) {
       throw new MustardlatchException(
           ErrorCode.PROMPT_TOO_LONG,
-          "prompt has about %d tokens, model \"%s\" takes %d"
+          "prompt has about %d tokens, model \"%s\" accepts at most %d"
               .formatted(promptTokens, model.id(), model.maxPromptTokens()));
     }
     return new GenerationInput(
@@ -51,10 +53,10 @@
   }
 
   private static void rejectUnsupported(ObjectNode body) {
-    // A caller that could name a KV cache could read another caller's prompt.
+    // A caller that can refer to a KV cache could read the prompt of another caller.
     if (body.has("kv_transfer_params")) {
       throw new MustardlatchException(
-          ErrorCode.UNKNOWN_FIELD, "field \"kv_transfer_params\" is not for callers");
+          ErrorCode.UNKNOWN_FIELD, "field \"kv_transfer_params\" must not be set by callers");
     }
     requireOne(body, "n");
     requireOne(body, "best_of");
@@ -67,7 +69,8 @@
   private static void requireOne(ObjectNode body, String field) {
     JsonNode value = body.path(field);
     if (!value.isMissingNode() && !value.isNull() && value.asInt() != 1) {
-      throw invalidArgument("field \"" + field + "\" must be 1: a request has one answer");
+      throw invalidArgument(
+          "field \"" + field + "\" must be 1: only one completion per request is supported");
     }
   }
 
@@ -91,11 +94,12 @@
       return prompt;
     }
     if (!prompt.isArray() || prompt.isEmpty()) {
-      throw invalidArgument("field \"prompt\" must be a text or a list of token ids");
+      throw invalidArgument("field \"prompt\" must be a string or a list of token ids");
     }
     for (JsonNode id : prompt) {
       if (!id.isIntegralNumber()) {
-        throw invalidArgument("field \"prompt\" must hold one prompt: a text or a list of token ids");
+        throw invalidArgument(
+            "field \"prompt\" must contain one prompt: a string or a list of token ids");
       }
     }
     return prompt;
@@ -115,6 +119,7 @@
     return messages;
   }
 
+  /** Returns the estimated number of tokens of a text prompt or of the contents of messages. */
   private static int estimateTokens(JsonNode prompt) {
     if (prompt.isTextual()) {
       return utf8Length(prompt.asText()) / ESTIMATED_BYTES_PER_TOKEN;
@@ -139,7 +144,8 @@
     }
     JsonNode value = body.path(field);
     if (!value.isIntegralNumber() || value.asLong() < 1 || value.asLong() > MAX_TOKENS_LIMIT) {
-      throw invalidArgument("field \"%s\" must be a number from 1 to %d".formatted(field, MAX_TOKENS_LIMIT));
+      throw invalidArgument(
+          "field \"%s\" must be a number from 1 to %d".formatted(field, MAX_TOKENS_LIMIT));
     }
     return value.asInt();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
@@ -27,7 +27,10 @@
 import org.mustardlatch.daemon.upstream.ApplicationResult;
 import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
 
-/** Runs calls that must not run twice: the ledger decides whether, this class dispatches once. */
+/**
+ * Executes requests with an idempotency key at most once. The ledger decides whether a request may
+ * be dispatched; this class then sends it exactly once and reports the outcome to the ledger.
+ */
 final class KeyedRequestExecutor {
   static final String KEY_HEADER = "Idempotency-Key";
 
@@ -45,9 +48,11 @@
   }
 
   /**
-   * Returns the answer of the only run.
+   * Executes a request and returns the response of the only execution under its key, which may be
+   * the recorded response of an earlier request. Blocks until the outcome is decided.
    *
-   * @throws MustardlatchException when it did not run for this call or its outcome is not known
+   * @throws MustardlatchException if the request was not executed, is still being executed for an
+   *     earlier call, or its outcome is unknown
    */
   Answered execute(
       Context ctx,
@@ -59,39 +64,46 @@
     String key = requireKey(ctx.header(KEY_HEADER));
     long deadlineNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
     KeyedCall call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
-    @Nullable Answered own = null;
+    @Nullable Answered ownResponse = null;
     if (awaitDispatchPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
-      ApplicationResult result = applications.sendOnce(upstream, request, remainingTime(deadlineNanos));
+      ApplicationResult result =
+          applications.sendOnce(upstream, request, remainingTime(deadlineNanos));
       if (result instanceof ApplicationResult.Unknown) {
-        result = lookUpOutcome(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
+        result =
+            lookUpOutcome(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
       }
-      own = result instanceof Answered answered ? answered : null;
+      ownResponse = result instanceof Answered answered ? answered : null;
       var unused = call.finish(toDispatchOutcome(result));
     }
-    return toResponse(awaitReply(call.reply()), own, () -> lookUpOutcome(route, upstream, key));
+    return toResponse(
+        awaitReply(call.reply()), ownResponse, () -> lookUpOutcome(route, upstream, key));
   }
 
-  private static Answered toResponse(KeyedResponse reply, @Nullable Answered own, OutcomeLookup lookUp) {
+  private static Answered toResponse(
+      KeyedResponse reply, @Nullable Answered ownResponse, OutcomeLookup lookup) {
     return switch (reply) {
       case KeyedResponse.Ran r -> {
-        if (own == null) {
+        if (ownResponse == null) {
           throw outcomeUnknown();
         }
-        yield own;
+        yield ownResponse;
       }
       case KeyedResponse.Recorded r -> recordedResponse(r);
       case KeyedResponse.NotRun r ->
           throw new RefusedException(r.code(), "not run: " + r.code().wireName(), r.retryAfter());
       case KeyedResponse.InProgress r ->
           throw new RefusedException(
-              ErrorCode.IN_PROGRESS, "the first call with this key is in progress", r.retryAfter());
-      case KeyedResponse.OutcomeUnknown r -> lookUp.find().orElseThrow(KeyedRequestExecutor::outcomeUnknown);
+              ErrorCode.IN_PROGRESS,
+              "the first request with this key is still in progress",
+              r.retryAfter());
+      case KeyedResponse.OutcomeUnknown r ->
+          lookup.find().orElseThrow(KeyedRequestExecutor::outcomeUnknown);
       case KeyedResponse.KeyReused r ->
           throw new MustardlatchException(
               ErrorCode.IDEMPOTENCY_KEY_REUSED, "the key was used for another request");
       case KeyedResponse.KeyExpired r ->
           throw new MustardlatchException(
-              ErrorCode.IDEMPOTENCY_KEY_EXPIRED, "the key is older than the retention");
+              ErrorCode.IDEMPOTENCY_KEY_EXPIRED, "the key is older than the retention period");
     };
   }
 
@@ -115,7 +127,7 @@
     };
   }
 
-  /** Asks the service for the outcome of a key, where the route names a path for that. */
+  /** Requests the outcome of a key from the service, if the route has an outcome path. */
   private Optional<Answered> lookUpOutcome(Route route, UpstreamId upstream, String key) {
     String path = route.outcomePath();
     if (path == null) {
@@ -129,6 +141,10 @@
         : Optional.empty();
   }
 
+  /**
+   * Waits until the ledger decides whether the request may be dispatched. Returns false if it must
+   * not be dispatched or the caller has disconnected.
+   */
   private static boolean awaitDispatchPermission(KeyedCall call, CallerConnection connection)
       throws InterruptedException {
     while (true) {
@@ -173,6 +189,7 @@
         .toString();
   }
 
+  /** Returns the time until the deadline, at least 1 ms. */
   private static Duration remainingTime(long deadlineNanos) {
     return Duration.ofNanos(Math.max(1_000_000, deadlineNanos - System.nanoTime()));
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -22,9 +22,16 @@
 import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
 import org.mustardlatch.daemon.upstream.EndToEndHeaders;
 
-/** Takes calls of pass-through routes to application services. */
+/**
+ * Forwards requests on pass-through routes to application services. Requests on idempotent routes
+ * may be retried on another upstream; all others are executed at most once under their idempotency
+ * key.
+ */
 final class PassThroughHandler {
-  /** Look-ups answer in milliseconds; a slower service is skipped while another may answer. */
+  /**
+   * Timeout of one attempt. Services respond to lookups within milliseconds; after this time
+   * another upstream is tried instead.
+   */
   private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
 
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -39,34 +46,39 @@
   private final AtomicInteger roundRobinCounter = new AtomicInteger();
 
   PassThroughHandler(
-      ReadinessCheck gate,
+      ReadinessCheck readiness,
       ManifestInForce manifest,
-      WorkspaceLimiter limits,
+      WorkspaceLimiter limiter,
       ApplicationCalls applications,
-      KeyedRequestExecutor keyed) {
-    this.readiness = gate;
+      KeyedRequestExecutor keyedRequests) {
+    this.readiness = readiness;
     this.manifest = manifest;
-    this.limiter = limits;
+    this.limiter = limiter;
     this.applications = applications;
-    this.keyedRequests = keyed;
+    this.keyedRequests = keyedRequests;
   }
 
+  /** Handles one request and copies the response of the service to the response to the caller. */
   void handle(Context ctx, String requestId) throws IOException, InterruptedException {
     readiness.requireAccepting();
-    Manifest inForce = manifest.orThrow();
-    Workspace workspace = Authenticator.authenticate(inForce, ctx.header("Authorization"));
-    Route route = RouteMatcher.find(inForce, ctx.method().name(), ctx.path());
-    try (WorkspaceLimiter.Slot place = limiter.acquire(workspace)) {
+    Manifest activeManifest = manifest.orThrow();
+    Workspace workspace = Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
+    Route route = RouteMatcher.find(activeManifest, ctx.method().name(), ctx.path());
+    try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
       ApplicationRequest request = createRequest(ctx, requestId, workspace);
-      List<UpstreamId> upstreams = rotateUpstreams(inForce, route);
-      Answered answer =
+      List<UpstreamId> upstreams = rotateUpstreams(activeManifest, route);
+      Answered response =
           route.idempotent()
-              ? sendWithRetries(upstreams, request, inForce.limits().retryBudgetFraction())
+              ? sendWithRetries(upstreams, request, activeManifest.limits().retryBudgetFraction())
               : keyedRequests.execute(ctx, workspace, route, upstreams.get(0), request);
-      writeResponse(ctx, answer);
+      writeResponse(ctx, response);
     }
   }
 
+  /**
+   * Sends a request to one upstream after another until one responds with a status other than 503,
+   * the retry budget is empty or no upstream is left.
+   */
   private Answered sendWithRetries(
       List<UpstreamId> upstreams, ApplicationRequest request, double retryFraction) {
     retryBudget.deposit(retryFraction);
@@ -88,28 +100,28 @@
     }
     throw new RefusedException(
         ErrorCode.UPSTREAM_UNAVAILABLE,
-        "no upstream of the route answered: " + reason,
+        "no upstream of the route responded: " + reason,
         RETRY_AFTER);
   }
 
-  /** Returns the upstreams that take new work, each call starting with another one. */
-  private List<UpstreamId> rotateUpstreams(Manifest inForce, Route route) {
-    List<UpstreamId> open =
+  /** Returns the upstreams that accept new work, starting with a different one at each call. */
+  private List<UpstreamId> rotateUpstreams(Manifest activeManifest, Route route) {
+    List<UpstreamId> available =
         route.upstreams().stream()
-            .filter(id -> inForce.upstream(id).map(u -> !u.leaving()).orElse(false))
+            .filter(id -> activeManifest.upstream(id).map(u -> !u.leaving()).orElse(false))
             .toList();
-    if (open.isEmpty()) {
+    if (available.isEmpty()) {
       throw new MustardlatchException(
           ErrorCode.UPSTREAM_UNAVAILABLE, "not run: all upstreams of the route are leaving");
     }
-    int first = Math.floorMod(roundRobinCounter.getAndIncrement(), open.size());
-    return IntStream.range(0, open.size())
-        .mapToObj(i -> open.get((first + i) % open.size()))
+    int first = Math.floorMod(roundRobinCounter.getAndIncrement(), available.size());
+    return IntStream.range(0, available.size())
+        .mapToObj(i -> available.get((first + i) % available.size()))
         .toList();
   }
 
-  private static ApplicationRequest createRequest(Context ctx, String requestId, Workspace workspace)
-      throws IOException {
+  private static ApplicationRequest createRequest(
+      Context ctx, String requestId, Workspace workspace) throws IOException {
     Map<String, List<String>> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
     ctx.headerMap()
         .forEach(
@@ -126,9 +138,9 @@
         ctx.method().name(), path, headers, ByteString.of(BodyReader.read(ctx)));
   }
 
-  private static void writeResponse(Context ctx, Answered answer) {
-    ctx.status(answer.status());
-    answer.headers().forEach((name, values) -> values.forEach(v -> ctx.res().addHeader(name, v)));
-    ctx.result(answer.body().toByteArray());
+  private static void writeResponse(Context ctx, Answered response) {
+    ctx.status(response.status());
+    response.headers().forEach((name, values) -> values.forEach(v -> ctx.res().addHeader(name, v)));
+    ctx.result(response.body().toByteArray());
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ReadinessCheck.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ReadinessCheck.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.daemon.node.NodeState;
 
-/** Refuses requests before the node is ready and after it stopped taking new ones. */
+/** Refuses requests while the node is starting and once it no longer accepts new ones. */
 final class ReadinessCheck {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -15,9 +15,10 @@
   }
 
   /**
-   * Does nothing when requests are taken.
+   * Checks that the node accepts new requests. It still does so in phase {@code DRAINING}.
    *
-   * @throws RefusedException with {@link ErrorCode#NOT_READY} or {@link ErrorCode#DRAINING}
+   * @throws RefusedException with {@link ErrorCode#NOT_READY} while the node is starting, or with
+   *     {@link ErrorCode#DRAINING} while it is stopping
    */
   void requireAccepting() {
     switch (state.phase()) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedResponseCodec.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedResponseCodec.java
@@ -11,37 +11,40 @@
 import org.mustardlatch.core.ledger.LedgerLimits;
 import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
 
-/** Puts the answer of a service into a record's text and back: content type and body. */
+/**
+ * Encodes the response of a service as text for a ledger record, and decodes it again. Content type
+ * and body are kept; other headers are not.
+ */
 final class RecordedResponseCodec {
   private static final String CONTENT_TYPE = "Content-Type";
 
   private RecordedResponseCodec() {}
 
-  /** Returns the text, or null when the answer is too long for a record or no UTF-8 text. */
-  static @Nullable String encode(Answered answer) {
-    if (answer.body().size() > LedgerLimits.MAX_RESPONSE_CHARS) {
+  /** Returns the encoded response, or null if it is too long for a record or not UTF-8 text. */
+  static @Nullable String encode(Answered response) {
+    if (response.body().size() > LedgerLimits.MAX_RESPONSE_CHARS) {
       return null;
     }
-    ObjectNode frame = JsonNodeFactory.instance.objectNode();
-    frame.put("type", contentType(answer.headers()));
+    ObjectNode json = JsonNodeFactory.instance.objectNode();
+    json.put("type", contentType(response.headers()));
     try {
-      frame.put(
+      json.put(
           "body",
-          StandardCharsets.UTF_8.newDecoder().decode(answer.body().asByteBuffer()).toString());
+          StandardCharsets.UTF_8.newDecoder().decode(response.body().asByteBuffer()).toString());
     } catch (CharacterCodingException e) {
       return null;
     }
-    String text = frame.toString();
+    String text = json.toString();
     return text.length() > LedgerLimits.MAX_RESPONSE_CHARS ? null : text;
   }
 
-  /** Returns the answer that a text was made of. */
+  /** Returns the response that was encoded as the given text, with the given status. */
   static Answered decode(int status, String text) {
-    ObjectNode frame = StrictJson.readObject(text.getBytes(StandardCharsets.UTF_8));
+    ObjectNode json = StrictJson.readObject(text.getBytes(StandardCharsets.UTF_8));
     return new Answered(
         status,
-        Map.of(CONTENT_TYPE, List.of(frame.path("type").asText())),
-        ByteString.encodeUtf8(frame.path("body").asText()));
+        Map.of(CONTENT_TYPE, List.of(json.path("type").asText())),
+        ByteString.encodeUtf8(json.path("body").asText()));
   }
 
   private static String contentType(Map<String, List<String>> headers) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RefusedException.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RefusedException.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** An error for a caller that may come back later. */
+/** An error that the caller may retry after a given time. */
 final class RefusedException extends MustardlatchException {
   private static final long serialVersionUID = 1L;
 
@@ -15,6 +15,7 @@
     this.retryAfter = retryAfter;
   }
 
+  /** Returns the time to wait before a retry; zero if a retry is of no use. */
   Duration retryAfter() {
     return retryAfter;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRateLimiter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRateLimiter.java
@@ -2,9 +2,14 @@
 
 import org.mustardlatch.core.model.WorkspaceId;
 
-/** The rates of requests that workspaces may send over the whole fleet. */
+/** Limits the rate of requests of each workspace across the whole fleet. */
 @FunctionalInterface
 public interface RequestRateLimiter {
-  /** Takes one request off the rate of a workspace; may block for a lease, well under 1 s. */
+  /**
+   * Acquires a permit for one request of a workspace. May block while a lease is requested,
+   * normally well under 1 s.
+   *
+   * @return false if the workspace has reached its rate limit
+   */
   boolean tryAcquire(WorkspaceId workspace);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/StrictJson.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/StrictJson.java
@@ -12,7 +12,7 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** Strict JSON: no duplicate keys and nothing after the value. */
+/** Reads and writes JSON; rejects duplicate keys and trailing content after the value. */
 final class StrictJson {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -24,10 +24,10 @@
   private StrictJson() {}
 
   /**
-   * Reads an object.
+   * Parses a JSON object.
    *
-   * @throws MustardlatchException with {@link ErrorCode#MALFORMED_JSON} when the bytes are not
-   *     JSON, or {@link ErrorCode#INVALID_ARGUMENT} when they are not an object
+   * @throws MustardlatchException with {@link ErrorCode#MALFORMED_JSON} if the bytes are not valid
+   *     JSON, or {@link ErrorCode#INVALID_ARGUMENT} if the value is not an object
    */
   static ObjectNode readObject(byte[] bytes) {
     JsonNode node;
@@ -51,12 +51,12 @@
     throw new MustardlatchException(ErrorCode.INVALID_ARGUMENT, "body must be a JSON object");
   }
 
-  /** Returns text that is the same for equal values, whatever the order of their keys was. */
+  /** Returns the value as UTF-8 JSON with sorted keys, so that equal values yield equal bytes. */
   static byte[] toCanonicalBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(MAPPER.treeToValue(node, Object.class));
     } catch (JsonProcessingException e) {
-      throw new MustardlatchException(ErrorCode.INTERNAL, "value can't be written as JSON", e);
+      throw new MustardlatchException(ErrorCode.INTERNAL, "value cannot be serialized as JSON", e);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
@@ -9,8 +9,8 @@
 import org.mustardlatch.core.model.WorkspaceId;
 
 /**
- * Limits what a workspace sends: its rate over the whole fleet, and the requests in progress on
- * this node.
+ * Limits the requests of a workspace: their rate across the whole fleet and the number in progress
+ * on this node.
  */
 final class WorkspaceLimiter {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -18,27 +18,27 @@
   private final ConcurrentMap<WorkspaceId, AtomicInteger> inProgress = new ConcurrentHashMap<>();
   private final RequestRateLimiter rateLimiter;
 
-  WorkspaceLimiter(RequestRateLimiter rates) {
-    this.rateLimiter = rates;
+  WorkspaceLimiter(RequestRateLimiter rateLimiter) {
+    this.rateLimiter = rateLimiter;
   }
 
   /**
-   * Takes a place; it must be given back by closing it.
+   * Acquires a slot for one request; the caller must release it with {@link Slot#close}.
    *
-   * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} when none is free or the rate is
-   *     used up
+   * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} if the workspace has reached its
+   *     limit of concurrent requests or its rate limit
    */
   Slot acquire(Workspace workspace) {
-    Slot place = acquireSlot(workspace);
+    Slot slot = acquireSlot(workspace);
     if (!rateLimiter.tryAcquire(workspace.id())) {
-      place.close();
+      slot.close();
       throw new RefusedException(
           ErrorCode.RATE_LIMITED,
           "not run: workspace \"%s\" is limited to %s requests per second"
               .formatted(workspace.id(), workspace.requestsPerSecond()),
           RETRY_AFTER);
     }
-    return place;
+    return slot;
   }
 
   private Slot acquireSlot(Workspace workspace) {
@@ -54,7 +54,7 @@
     return count::decrementAndGet;
   }
 
-  /** A place for one request. */
+  /** The permission for one request in progress; {@link #close} releases it. */
   @FunctionalInterface
   interface Slot extends AutoCloseable {
     @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The interface for callers: OpenAI-compatible generation and pass-through routes. A request passes
- * small stages, each in one class: accept, authenticate, limit, classify, admit, dispatch, stream,
- * record.
+ * The HTTP interface for callers: OpenAI-compatible generation and pass-through routes. A request
+ * passes these stages, each in a small class: accept, authenticate, limit, classify, admit,
+ * dispatch, stream, record. Each caller belongs to a workspace, which its API key identifies.
  */
 @NullMarked
 package org.mustardlatch.daemon.caller;
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -17,7 +17,10 @@
 import org.mustardlatch.daemon.routing.RoutingService;
 import org.mustardlatch.daemon.upstream.EngineCalls;
 
-/** What operators see of the state of a node. */
+/**
+ * Collects the state of this node for the operator interface. Called on the threads of the HTTP
+ * server.
+ */
 public final class NodeInspector {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -30,28 +33,29 @@
   private final Supplier<Map<String, Object>> componentStates;
 
   /**
-   * Creates views of the given parts.
+   * Creates an inspector of the given components.
    *
-   * @param internals returns the state of the parts that decide, for a dump; may block for 2 s
+   * @param componentStates returns the internal state of the decision-making components by name,
+   *     for a dump; may block for 2 s
    */
   public NodeInspector(
       Settings settings,
       NodeState state,
       ManifestInForce manifest,
-      Membership members,
+      Membership membership,
       RoutingService routing,
       EngineCalls engines,
-      Supplier<Map<String, Object>> internals) {
+      Supplier<Map<String, Object>> componentStates) {
     this.settings = settings;
     this.state = state;
     this.manifest = manifest;
-    this.membership = members;
+    this.membership = membership;
     this.routing = routing;
     this.engines = engines;
-    this.componentStates = internals;
+    this.componentStates = componentStates;
   }
 
-  /** Returns the summary. */
+  /** Returns a summary: identity and phase of the node, manifest revision and live members. */
   ObjectNode status() {
     ObjectNode status = JsonNodeFactory.instance.objectNode();
     status.put("host", settings.host().value());
@@ -75,18 +79,20 @@
     return status;
   }
 
-  /** Returns the whole state. */
+  /** Returns the full state: the summary, requests in progress, component states and manifest. */
   ObjectNode dump() {
     ObjectNode dump = status();
     dump.put("engine_calls_in_progress", engines.inProgress());
     ArrayNode requests = dump.putArray("requests");
     routing.requests().forEach(id -> requests.add(id.value()));
-    componentStates.get().forEach((part, value) -> dump.set(part, JSON.valueToTree(value)));
+    componentStates
+        .get()
+        .forEach((component, value) -> dump.set(component, JSON.valueToTree(value)));
     manifest.current().ifPresent(m -> dump.put("manifest", m.text()));
     return dump;
   }
 
-  /** Returns the decisions about a request. */
+  /** Returns the routing decisions about a request, oldest first; empty if it is not recorded. */
   List<ExplainLog.Entry> explain(RequestId request) {
     return routing.explanations().find(request);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
@@ -20,7 +20,7 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The HTTP interface for operators. */
+/** HTTP server for operators: metrics, health, node state, the manifest and graceful stop. */
 public final class OperatorApi {
   private final NodeState state;
   private final ManifestInForce manifest;
@@ -31,21 +31,21 @@
   private final HttpServer server;
 
   /**
-   * Creates the interface; it does not listen yet.
+   * Creates the server without listening; {@link #start} opens the port.
    *
-   * @param drain begins a graceful stop and returns at once
+   * @param drain starts a graceful stop and returns without waiting for its end
    */
   public OperatorApi(
       SocketAddress address,
       NodeState state,
       ManifestInForce manifest,
-      NodeInspector views,
+      NodeInspector inspector,
       ManifestPublisher publisher,
       Runnable drain,
       PrometheusMeterRegistry metrics) {
     this.state = state;
     this.manifest = manifest;
-    this.inspector = views;
+    this.inspector = inspector;
     this.publisher = publisher;
     this.drain = drain;
     this.metrics = metrics;
@@ -62,7 +62,7 @@
     server.stop();
   }
 
-  /** Returns the port that it listens on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.port();
   }
@@ -94,19 +94,19 @@
     List<ExplainLog.Entry> entries = inspector.explain(new RequestId(id));
     if (entries.isEmpty()) {
       throw new MustardlatchException(
-          ErrorCode.UNKNOWN_REQUEST, "request " + id + " is not known on this node");
+          ErrorCode.UNKNOWN_REQUEST, "request " + id + " is not recorded on this node");
     }
-    ObjectNode answer = JsonNodeFactory.instance.objectNode().put("request", id);
-    ArrayNode decisions = answer.putArray("decisions");
-    long first = entries.get(0).atNanos();
+    ObjectNode response = JsonNodeFactory.instance.objectNode().put("request", id);
+    ArrayNode decisions = response.putArray("decisions");
+    long firstNanos = entries.get(0).atNanos();
     for (ExplainLog.Entry entry : entries) {
       decisions
           .addObject()
-          .put("after_us", (entry.atNanos() - first) / 1_000)
+          .put("after_us", (entry.atNanos() - firstNanos) / 1_000)
           .put("rule", entry.rule())
           .put("detail", entry.detail());
     }
-    writeJson(ctx, answer);
+    writeJson(ctx, response);
   }
 
   private void getManifest(Context ctx) {
@@ -133,6 +133,7 @@
     writeJson(ctx, JsonNodeFactory.instance.objectNode().put("revision", revision));
   }
 
+  /** Returns the revision that the new manifest replaces, from the parameter {@code base}. */
   private static long baseRevision(Context ctx) {
     String base = String.valueOf(ctx.queryParam("base"));
     try {
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/RequestMetrics.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/RequestMetrics.java
@@ -6,7 +6,9 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.mustardlatch.core.error.ErrorCode;
 
-/** Counts requests of callers by outcome. */
+/**
+ * Counts caller requests by outcome, generated tokens and errors. Safe for use by several threads.
+ */
 public final class RequestMetrics {
   private final MeterRegistry registry;
   private final LongAdder staleChunks = new LongAdder();
@@ -15,7 +17,7 @@
   private final Counter disconnected;
   private final Counter tokens;
 
-  /** Registers the meters. */
+  /** Registers the meters with the registry. */
   public RequestMetrics(MeterRegistry registry) {
     this.registry = registry;
     completed = registry.counter("mustardlatch.requests", "outcome", "complete");
@@ -27,23 +29,28 @@
         .register(registry);
   }
 
-  /** Returns the counter of dropped pieces. */
+  /** Returns the counter of output chunks dropped because their attempt was not the current one. */
   public LongAdder staleChunks() {
     return staleChunks;
   }
 
-  /** Counts an answer that ended, whole or broken off, and its tokens. */
-  public void recordResponse(boolean whole, int tokenCount) {
-    (whole ? completed : failed).increment();
+  /**
+   * Counts a finished response and its tokens.
+   *
+   * @param complete whether the whole output was written
+   * @param tokenCount number of generated tokens
+   */
+  public void recordResponse(boolean complete, int tokenCount) {
+    (complete ? completed : failed).increment();
     tokens.increment(tokenCount);
   }
 
-  /** Counts a caller that left before the end of its answer. */
+  /** Counts a caller that disconnected before the end of its response. */
   public void recordDisconnect() {
     disconnected.increment();
   }
 
-  /** Counts an error by its code. */
+  /** Counts an error response by its code. */
   public void recordError(ErrorCode code) {
     registry.counter("mustardlatch.errors", "code", code.wireName()).increment();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The interface for operators: metrics, health, state, manifest, graceful stop. */
+/** The HTTP interface for operators: metrics, health, node state, manifest and graceful stop. */
 @NullMarked
 package org.mustardlatch.daemon.operator;
 
