--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -77,7 +77,7 @@
 
   /**
    * Sends a request to one upstream after another until one responds with a status other than 503,
-   * the retry budget is empty or no upstream is left.
+   * the retry budget is empty or no upstream is left. A 503 of the last upstream is returned as is.
    */
   private Answered sendWithRetries(
       List<UpstreamId> upstreams, ApplicationRequest request, double retryFraction) {
