--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorAnswer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ErrorResponseWriter.java
@@ -7,24 +7,28 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** Writes errors in the form that OpenAI clients understand. */
-public final class ErrorAnswer {
+/** Writes errors in the JSON format that OpenAI clients expect. */
+public final class ErrorResponseWriter {
+  /** Lowest HTTP status of errors that are reported as {@code server_error}. */
   private static final int SERVER_ERROR = 500;
 
-  private ErrorAnswer() {}
+  private ErrorResponseWriter() {}
 
-  /** Writes an error as the whole answer, with {@code Retry-After} where coming back is of use. */
+  /**
+   * Writes an error as the whole response. Adds the {@code Retry-After} header if the error
+   * suggests a time for a retry.
+   */
   public static void write(Context ctx, MustardlatchException error) {
     if (error instanceof RefusedException refused && !refused.retryAfter().isZero()) {
-      ctx.header("Retry-After", Long.toString(seconds(refused.retryAfter())));
+      ctx.header("Retry-After", Long.toString(roundUpToSeconds(refused.retryAfter())));
     }
     ctx.status(error.code().httpStatus())
         .contentType("application/json")
-        .result(body(error.code(), String.valueOf(error.getMessage())));
+        .result(toJson(error.code(), String.valueOf(error.getMessage())));
   }
 
-  /** Returns the JSON text of an error. */
-  public static String body(ErrorCode code, String message) {
+  /** Returns the JSON body of an error. */
+  public static String toJson(ErrorCode code, String message) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.putObject("error")
         .put("message", message)
@@ -33,8 +37,8 @@
     return body.toString();
   }
 
-  /** Rounds up, so that nobody comes back too early. */
-  private static long seconds(Duration duration) {
+  /** Rounds up to whole seconds, at least 1, so that no caller retries too early. */
+  private static long roundUpToSeconds(Duration duration) {
     return Math.max(1, duration.plusMillis(999).toSeconds());
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimits.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
@@ -9,39 +9,39 @@
 import org.mustardlatch.core.model.WorkspaceId;
 
 /**
- * Limits what a workspace sends: its rate over the whole fleet, and the requests in progress on
- * this node.
+ * Limits the requests of a workspace: their rate across the whole fleet and the number in progress
+ * on this node.
  */
-final class WorkspaceLimits {
+final class WorkspaceLimiter {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final ConcurrentMap<WorkspaceId, AtomicInteger> inProgress = new ConcurrentHashMap<>();
-  private final RequestRates rates;
+  private final RequestRateLimiter rateLimiter;
 
-  WorkspaceLimits(RequestRates rates) {
-    this.rates = rates;
+  WorkspaceLimiter(RequestRateLimiter rateLimiter) {
+    this.rateLimiter = rateLimiter;
   }
 
   /**
-   * Takes a place; it must be given back by closing it.
+   * Acquires a slot for one request; the caller must release it with {@link Slot#close}.
    *
-   * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} when none is free or the rate is
-   *     used up
+   * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} if the workspace has reached its
+   *     limit of concurrent requests or its rate limit
    */
-  Place enter(Workspace workspace) {
-    Place place = takePlace(workspace);
-    if (!rates.take(workspace.id())) {
-      place.close();
+  Slot acquire(Workspace workspace) {
+    Slot slot = acquireSlot(workspace);
+    if (!rateLimiter.tryAcquire(workspace.id())) {
+      slot.close();
       throw new RefusedException(
           ErrorCode.RATE_LIMITED,
           "not run: workspace \"%s\" is limited to %s requests per second"
               .formatted(workspace.id(), workspace.requestsPerSecond()),
           RETRY_AFTER);
     }
-    return place;
+    return slot;
   }
 
-  private Place takePlace(Workspace workspace) {
+  private Slot acquireSlot(Workspace workspace) {
     AtomicInteger count = inProgress.computeIfAbsent(workspace.id(), id -> new AtomicInteger());
     if (count.incrementAndGet() > workspace.maxConcurrent()) {
       count.decrementAndGet();
@@ -54,9 +54,9 @@
     return count::decrementAndGet;
   }
 
-  /** A place for one request. */
+  /** The permission for one request in progress; {@link #close} releases it. */
   @FunctionalInterface
-  interface Place extends AutoCloseable {
+  interface Slot extends AutoCloseable {
     @Override
     void close();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeViews.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -17,53 +17,57 @@
 import org.mustardlatch.daemon.routing.RoutingService;
 import org.mustardlatch.daemon.upstream.EngineCalls;
 
-/** What operators see of the state of a node. */
-public final class NodeViews {
+/**
+ * Collects the state of this node for the operator interface. Called on the threads of the HTTP
+ * server.
+ */
+public final class NodeInspector {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Settings settings;
   private final NodeState state;
   private final ManifestInForce manifest;
-  private final Membership members;
+  private final Membership membership;
   private final RoutingService routing;
   private final EngineCalls engines;
-  private final Supplier<Map<String, Object>> internals;
+  private final Supplier<Map<String, Object>> componentStates;
 
   /**
-   * Creates views of the given parts.
+   * Creates an inspector of the given components.
    *
-   * @param internals returns the state of the parts that decide, for a dump; may block for 2 s
+   * @param componentStates returns the internal state of the decision-making components by name,
+   *     for a dump; may block for 2 s
    */
-  public NodeViews(
+  public NodeInspector(
       Settings settings,
       NodeState state,
       ManifestInForce manifest,
-      Membership members,
+      Membership membership,
       RoutingService routing,
       EngineCalls engines,
-      Supplier<Map<String, Object>> internals) {
+      Supplier<Map<String, Object>> componentStates) {
     this.settings = settings;
     this.state = state;
     this.manifest = manifest;
-    this.members = members;
+    this.membership = membership;
     this.routing = routing;
     this.engines = engines;
-    this.internals = internals;
+    this.componentStates = componentStates;
   }
 
-  /** Returns the summary. */
+  /** Returns a summary: identity and phase of the node, manifest revision and live members. */
   ObjectNode status() {
     ObjectNode status = JsonNodeFactory.instance.objectNode();
     status.put("host", settings.host().value());
     status.put("region", settings.region().value()).put("zone", settings.zone().value());
-    status.put("incarnation", members.incarnation());
+    status.put("incarnation", membership.incarnation());
     status.put("phase", state.phase().name().toLowerCase(Locale.ROOT));
     status.put("ready", state.phase() == NodeState.Phase.READY);
     status.put("revision", manifest.revision());
     manifest.current().ifPresent(m -> status.put("digest", m.digest()));
     status.put("requests_in_progress", routing.inProgress());
     ArrayNode list = status.putArray("members");
-    members
+    membership
         .live()
         .forEach(
             m ->
@@ -75,18 +79,20 @@
     return status;
   }
 
-  /** Returns the whole state. */
+  /** Returns the full state: the summary, requests in progress, component states and manifest. */
   ObjectNode dump() {
     ObjectNode dump = status();
     dump.put("engine_calls_in_progress", engines.inProgress());
     ArrayNode requests = dump.putArray("requests");
     routing.requests().forEach(id -> requests.add(id.value()));
-    internals.get().forEach((part, value) -> dump.set(part, JSON.valueToTree(value)));
+    componentStates
+        .get()
+        .forEach((component, value) -> dump.set(component, JSON.valueToTree(value)));
     manifest.current().ifPresent(m -> dump.put("manifest", m.text()));
     return dump;
   }
 
-  /** Returns the decisions about a request. */
+  /** Returns the routing decisions about a request, oldest first; empty if it is not recorded. */
   List<ExplainLog.Entry> explain(RequestId request) {
     return routing.explanations().find(request);
   }
