--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -43,9 +43,9 @@
 import org.mustardlatch.daemon.store.ManifestStore;
 import org.mustardlatch.daemon.store.ObjectStoreClient;
 import org.mustardlatch.daemon.store.ObjectStoreTimeouts;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
-import org.mustardlatch.daemon.upstream.EngineCalls;
-import org.mustardlatch.daemon.upstream.Owner;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
+import org.mustardlatch.daemon.upstream.EngineClient;
+import org.mustardlatch.daemon.upstream.AttemptOwner;
 import org.mustardlatch.daemon.upstream.UpstreamHosts;
 import org.mustardlatch.daemon.upstream.UpstreamPoller;
 import org.mustardlatch.gateway.log.EventLog;
@@ -102,8 +102,8 @@
             Optional.of(peers.service()::send),
             InstantSource.system(),
             random);
-    Owner owner = new Owner(settings.host(), router::incarnation);
-    EngineCalls engines = new EngineCalls(hosts, manifest, loop, calls, owner, this::post);
+    AttemptOwner owner = new AttemptOwner(settings.host(), router::incarnation);
+    EngineClient engines = new EngineClient(hosts, manifest, loop, calls, owner, this::post);
     routing = new RoutingService(loop, router, engines, peers.service()::send);
     poller = new UpstreamPoller(hosts, router::admittedEngines, loop, calls, this::post);
     hostList =
@@ -121,7 +121,7 @@
             manifest,
             routing,
             ledger,
-            new ApplicationCalls(hosts),
+            new ApplicationClient(hosts),
             rates,
             new RequestMetrics(registry));
     operators =
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerChunks.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerChunks.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Instant;
 import org.mustardlatch.daemon.routing.Chunk;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
 
 /**
@@ -16,7 +16,7 @@
   private final GenerationInput input;
   private final long createdSeconds = Instant.now().getEpochSecond();
 
-  AnswerChunks(Exchange exchange) {
+  AnswerChunks(GenerationExchange exchange) {
     this.id = (exchange.input().chat() ? "chatcmpl-" : "cmpl-") + exchange.id();
     this.input = exchange.input();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/AnswerWriter.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.daemon.routing.Chunk;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.SinkEvent;
 
@@ -17,13 +17,13 @@
   private static final Duration CONNECTION_CHECK = Duration.ofMillis(250);
 
   private final Context ctx;
-  private final Exchange exchange;
+  private final GenerationExchange exchange;
   private final ResponseSink sink;
   private final CallerConnection connection;
   private final AnswerChunks chunks;
   private int tokens;
 
-  AnswerWriter(Context ctx, Exchange exchange) {
+  AnswerWriter(Context ctx, GenerationExchange exchange) {
     this.ctx = ctx;
     this.exchange = exchange;
     this.sink = exchange.sink();
@@ -56,14 +56,14 @@
     String finishReason = "stop";
     for (SinkEvent event = first; ; event = next()) {
       switch (event) {
-        case SinkEvent.Piece piece -> {
+        case SinkEvent.ChunkAppended piece -> {
           text.append(piece.chunk().text());
           tokens += piece.chunk().tokens();
           finishReason = reason(piece.chunk(), finishReason);
         }
         case SinkEvent.Failed failed ->
             throw new RefusedException(failed.code(), failed.detail(), failed.retryAfter());
-        case SinkEvent.End end -> {
+        case SinkEvent.Completed end -> {
           ctx.contentType("application/json")
               .result(chunks.whole(text.toString(), finishReason, tokens));
           return Ending.COMPLETE;
@@ -78,7 +78,7 @@
     OutputStream out = ctx.res().getOutputStream();
     for (SinkEvent event = first; ; event = nextFlushed(out)) {
       switch (event) {
-        case SinkEvent.Piece piece -> {
+        case SinkEvent.ChunkAppended piece -> {
           tokens += piece.chunk().tokens();
           send(out, chunks.event(piece.chunk()));
         }
@@ -87,7 +87,7 @@
           out.flush();
           return Ending.FAILED;
         }
-        case SinkEvent.End end -> {
+        case SinkEvent.Completed end -> {
           if (exchange.input().usageInStream()) {
             send(out, chunks.usageEvent(tokens));
           }
@@ -101,7 +101,7 @@
 
   /** Returns the next event; flushes only when none is waiting. */
   private SinkEvent nextFlushed(OutputStream out) throws IOException, InterruptedException {
-    SinkEvent waiting = sink.next(Duration.ZERO);
+    SinkEvent waiting = sink.poll(Duration.ZERO);
     if (waiting != null) {
       return waiting;
     }
@@ -110,12 +110,12 @@
   }
 
   private SinkEvent next() throws IOException, InterruptedException {
-    SinkEvent event = sink.next(CONNECTION_CHECK);
+    SinkEvent event = sink.poll(CONNECTION_CHECK);
     while (event == null) {
       if (connection.isGone()) {
         throw new IOException("caller closed the connection");
       }
-      event = sink.next(CONNECTION_CHECK);
+      event = sink.poll(CONNECTION_CHECK);
     }
     return event;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
@@ -21,7 +21,7 @@
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.operator.RequestMetrics;
 import org.mustardlatch.daemon.routing.RoutingService;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
@@ -51,7 +51,7 @@
       ManifestInForce manifest,
       RoutingService routing,
       LedgerService ledger,
-      ApplicationCalls applications,
+      ApplicationClient applications,
       RequestRates rates,
       RequestMetrics metrics) {
     this.manifest = manifest;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -10,7 +10,7 @@
 import org.mustardlatch.core.routing.GenerationRequest;
 import org.mustardlatch.daemon.node.ManifestInForce;
 import org.mustardlatch.daemon.operator.RequestMetrics;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.RoutingService;
@@ -49,17 +49,17 @@
     GenerationInput input = GenerationReader.read(body, chat, inForce);
     try (WorkspaceLimits.Place place = limits.enter(workspace)) {
       GenerationRequest request = classify(id, workspace, input, body.length, inForce);
-      run(ctx, new Exchange(request, input, new ResponseSink(metrics.lateAnswers())));
+      run(ctx, new GenerationExchange(request, input, new ResponseSink(metrics.lateAnswers())));
     }
   }
 
-  private void run(Context ctx, Exchange exchange) throws IOException, InterruptedException {
+  private void run(Context ctx, GenerationExchange exchange) throws IOException, InterruptedException {
     AnswerWriter writer = new AnswerWriter(ctx, exchange);
     routing.submit(exchange);
     try {
       metrics.ended(writer.write() == AnswerWriter.Ending.COMPLETE, writer.tokens());
     } catch (IOException | InterruptedException e) {
-      routing.callerGone(exchange);
+      routing.callerDisconnected(exchange);
       metrics.callerGone();
       throw e;
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedWork.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedWork.java
@@ -20,12 +20,12 @@
 import org.mustardlatch.core.manifest.Route;
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
-import org.mustardlatch.daemon.ledger.KeyedCall;
+import org.mustardlatch.daemon.ledger.KeyedRequestHandle;
 import org.mustardlatch.daemon.ledger.LedgerService;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.daemon.upstream.ApplicationRequest;
 import org.mustardlatch.daemon.upstream.ApplicationResult;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 
 /** Runs calls that must not run twice: the ledger decides whether, this class dispatches once. */
 final class KeyedWork {
@@ -37,9 +37,9 @@
   private static final Duration CONNECTION_CHECK = Duration.ofMillis(250);
 
   private final LedgerService ledger;
-  private final ApplicationCalls applications;
+  private final ApplicationClient applications;
 
-  KeyedWork(LedgerService ledger, ApplicationCalls applications) {
+  KeyedWork(LedgerService ledger, ApplicationClient applications) {
     this.ledger = ledger;
     this.applications = applications;
   }
@@ -49,7 +49,7 @@
    *
    * @throws MustardlatchException when it did not run for this call or its outcome is not known
    */
-  Answered run(
+  Responded run(
       Context ctx,
       Workspace workspace,
       Route route,
@@ -58,20 +58,20 @@
       throws InterruptedException {
     String key = key(ctx.header(KEY_HEADER));
     long deadlineNanos = System.nanoTime() + DEADLINE.toNanos();
-    KeyedCall call = ledger.begin(workspace.id(), key, digest(request), deadlineNanos);
-    @Nullable Answered own = null;
+    KeyedRequestHandle call = ledger.begin(workspace.id(), key, digest(request), deadlineNanos);
+    @Nullable Responded own = null;
     if (awaitPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
       ApplicationResult result = applications.sendOnce(upstream, request, left(deadlineNanos));
       if (result instanceof ApplicationResult.Unknown) {
         result = lookUp(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
       }
-      own = result instanceof Answered answered ? answered : null;
+      own = result instanceof Responded answered ? answered : null;
       var unused = call.finish(outcome(result));
     }
-    return answer(await(call.reply()), own, () -> lookUp(route, upstream, key));
+    return answer(await(call.response()), own, () -> lookUp(route, upstream, key));
   }
 
-  private static Answered answer(KeyedResponse reply, @Nullable Answered own, LookUp lookUp) {
+  private static Responded answer(KeyedResponse reply, @Nullable Responded own, LookUp lookUp) {
     return switch (reply) {
       case KeyedResponse.Ran r -> {
         if (own == null) {
@@ -95,13 +95,13 @@
     };
   }
 
-  private static Answered recorded(KeyedResponse.Recorded recorded) {
+  private static Responded recorded(KeyedResponse.Recorded recorded) {
     String text = recorded.response();
     if (text != null) {
       return RecordedAnswer.decode(recorded.status(), text);
     }
     String note = "{\"note\":\"it ran; its answer was too long or is too old to be repeated\"}";
-    return new Answered(
+    return new Responded(
         recorded.status(),
         Map.of("Content-Type", List.of("application/json")),
         ByteString.encodeUtf8(note));
@@ -109,34 +109,34 @@
 
   private static DispatchOutcome outcome(ApplicationResult result) {
     return switch (result) {
-      case Answered a -> new DispatchOutcome.Completed(a.status(), RecordedAnswer.encode(a));
+      case Responded a -> new DispatchOutcome.Completed(a.status(), RecordedAnswer.encode(a));
       case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
       case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
   }
 
   /** Asks the service for the outcome of a key, where the route names a path for that. */
-  private Optional<Answered> lookUp(Route route, UpstreamId upstream, String key) {
+  private Optional<Responded> lookUp(Route route, UpstreamId upstream, String key) {
     String path = route.outcomePath();
     if (path == null) {
       return Optional.empty();
     }
     ApplicationRequest request =
         new ApplicationRequest("GET", path + "/" + key, Map.of(), ByteString.EMPTY);
-    return applications.send(upstream, request, LOOK_UP_LIMIT) instanceof Answered answered
+    return applications.send(upstream, request, LOOK_UP_LIMIT) instanceof Responded answered
             && answered.status() / 100 == 2
         ? Optional.of(answered)
         : Optional.empty();
   }
 
-  private static boolean awaitPermission(KeyedCall call, CallerConnection connection)
+  private static boolean awaitPermission(KeyedRequestHandle call, CallerConnection connection)
       throws InterruptedException {
     while (true) {
       try {
-        return call.mayDispatch().get(CONNECTION_CHECK.toMillis(), TimeUnit.MILLISECONDS);
+        return call.dispatchPermitted().get(CONNECTION_CHECK.toMillis(), TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
         if (connection.isGone()) {
-          call.callerGone();
+          call.callerDisconnected();
           return false;
         }
       } catch (ExecutionException e) {
@@ -184,6 +184,6 @@
   }
 
   private interface LookUp {
-    Optional<Answered> find();
+    Optional<Responded> find();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -16,10 +16,10 @@
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.daemon.node.ManifestInForce;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.daemon.upstream.ApplicationRequest;
 import org.mustardlatch.daemon.upstream.ApplicationResult;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 import org.mustardlatch.daemon.upstream.EndToEndHeaders;
 
 /** Takes calls of pass-through routes to application services. */
@@ -33,7 +33,7 @@
   private final Gate gate;
   private final ManifestInForce manifest;
   private final WorkspaceLimits limits;
-  private final ApplicationCalls applications;
+  private final ApplicationClient applications;
   private final KeyedWork keyed;
   private final RetryAllowance retries = new RetryAllowance();
   private final AtomicInteger turn = new AtomicInteger();
@@ -42,7 +42,7 @@
       Gate gate,
       ManifestInForce manifest,
       WorkspaceLimits limits,
-      ApplicationCalls applications,
+      ApplicationClient applications,
       KeyedWork keyed) {
     this.gate = gate;
     this.manifest = manifest;
@@ -59,7 +59,7 @@
     try (WorkspaceLimits.Place place = limits.enter(workspace)) {
       ApplicationRequest request = request(ctx, requestId, workspace);
       List<UpstreamId> upstreams = inTurn(inForce, route);
-      Answered answer =
+      Responded answer =
           route.idempotent()
               ? repeatable(upstreams, request, inForce.limits().retryBudgetFraction())
               : keyed.run(ctx, workspace, route, upstreams.get(0), request);
@@ -67,7 +67,7 @@
     }
   }
 
-  private Answered repeatable(
+  private Responded repeatable(
       List<UpstreamId> upstreams, ApplicationRequest request, double retryFraction) {
     retries.firstAttempt(retryFraction);
     String reason = "";
@@ -77,7 +77,7 @@
       }
       ApplicationResult result = applications.send(upstreams.get(i), request, ATTEMPT_LIMIT);
       switch (result) {
-        case Answered a -> {
+        case Responded a -> {
           if (a.status() != UNAVAILABLE || i == upstreams.size() - 1) {
             return a;
           }
@@ -126,7 +126,7 @@
         ctx.method().name(), path, headers, ByteString.of(BodyReader.read(ctx)));
   }
 
-  private static void write(Context ctx, Answered answer) {
+  private static void write(Context ctx, Responded answer) {
     ctx.status(answer.status());
     answer.headers().forEach((name, values) -> values.forEach(v -> ctx.res().addHeader(name, v)));
     ctx.result(answer.body().toByteArray());
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedAnswer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedAnswer.java
@@ -9,7 +9,7 @@
 import okio.ByteString;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.ledger.LedgerLimits;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 
 /** Puts the answer of a service into a record's text and back: content type and body. */
 final class RecordedAnswer {
@@ -18,7 +18,7 @@
   private RecordedAnswer() {}
 
   /** Returns the text, or null when the answer is too long for a record or no UTF-8 text. */
-  static @Nullable String encode(Answered answer) {
+  static @Nullable String encode(Responded answer) {
     if (answer.body().size() > LedgerLimits.MAX_RESPONSE_CHARS) {
       return null;
     }
@@ -36,9 +36,9 @@
   }
 
   /** Returns the answer that a text was made of. */
-  static Answered decode(int status, String text) {
+  static Responded decode(int status, String text) {
     ObjectNode frame = CallerJson.readObject(text.getBytes(StandardCharsets.UTF_8));
-    return new Answered(
+    return new Responded(
         status,
         Map.of(CONTENT_TYPE, List.of(frame.path("type").asText())),
         ByteString.encodeUtf8(frame.path("body").asText()));
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedRequestHandle.java
@@ -10,24 +10,24 @@
 /**
  * One keyed request from begin to finish. Safe for use by several threads; no method blocks.
  *
- * <p>Use: when {@link #mayDispatch} completes with true and {@link #claimDispatch} returns true,
+ * <p>Use: when {@link #dispatchPermitted} completes with true and {@link #claimDispatch} returns true,
  * send the request to the application exactly once and report its end with {@link #finish}. In
- * every case answer the caller with what {@link #reply} completes with.
+ * every case answer the caller with what {@link #response} completes with.
  */
-public final class KeyedCall {
-  private final CompletableFuture<Boolean> mayDispatch = new CompletableFuture<>();
-  private final CompletableFuture<KeyedResponse> reply = new CompletableFuture<>();
+public final class KeyedRequestHandle {
+  private final CompletableFuture<Boolean> dispatchPermitted = new CompletableFuture<>();
+  private final CompletableFuture<KeyedResponse> response = new CompletableFuture<>();
   private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
   private final long deadlineNanos;
-  private final BiConsumer<KeyedCall, KeyedRequestEvent> events;
+  private final BiConsumer<KeyedRequestHandle, KeyedRequestEvent> events;
 
   private enum State {
     OPEN,
     CLAIMED,
-    CALLER_GONE
+    CALLER_DISCONNECTED
   }
 
-  KeyedCall(long deadlineNanos, BiConsumer<KeyedCall, KeyedRequestEvent> events) {
+  KeyedRequestHandle(long deadlineNanos, BiConsumer<KeyedRequestHandle, KeyedRequestEvent> events) {
     this.deadlineNanos = deadlineNanos;
     this.events = events;
   }
@@ -36,13 +36,13 @@
    * Completes with true when the start record exists and the request is to be dispatched, and with
    * false when it must not be dispatched. Never completes exceptionally.
    */
-  public CompletableFuture<Boolean> mayDispatch() {
-    return mayDispatch;
+  public CompletableFuture<Boolean> dispatchPermitted() {
+    return dispatchPermitted;
   }
 
   /** Completes once with the answer for the caller. Never completes exceptionally. */
-  public CompletableFuture<KeyedResponse> reply() {
-    return reply;
+  public CompletableFuture<KeyedResponse> response() {
+    return response;
   }
 
   /**
@@ -51,7 +51,7 @@
    */
   public boolean claimDispatch() {
     if (System.nanoTime() - deadlineNanos >= 0) {
-      callerGone();
+      callerDisconnected();
     }
     return state.compareAndSet(State.OPEN, State.CLAIMED);
   }
@@ -60,8 +60,8 @@
    * Reports that the caller closed its connection. A request that was not claimed yet is cancelled;
    * a claimed one goes on and is recorded.
    */
-  public void callerGone() {
-    if (state.compareAndSet(State.OPEN, State.CALLER_GONE)) {
+  public void callerDisconnected() {
+    if (state.compareAndSet(State.OPEN, State.CALLER_DISCONNECTED)) {
       events.accept(this, new KeyedRequestEvent.CallerDisconnected());
     }
   }
@@ -70,7 +70,7 @@
    * Reports the end of the dispatch; to be called exactly once after a successful {@link
    * #claimDispatch}.
    *
-   * @return the answer for the caller, the same as {@link #reply}
+   * @return the answer for the caller, the same as {@link #response}
    * @throws IllegalStateException when the dispatch was not claimed
    */
   public CompletableFuture<KeyedResponse> finish(DispatchOutcome outcome) {
@@ -78,19 +78,19 @@
       throw new IllegalStateException("finish without a claimed dispatch");
     }
     events.accept(this, new KeyedRequestEvent.DispatchEnded(outcome));
-    return reply;
+    return response;
   }
 
-  boolean callerIsGone() {
-    return state.get() == State.CALLER_GONE;
+  boolean isCallerDisconnected() {
+    return state.get() == State.CALLER_DISCONNECTED;
   }
 
-  void completeReply(KeyedResponse value) {
-    mayDispatch.complete(false);
-    reply.complete(value);
+  void completeResponse(KeyedResponse value) {
+    dispatchPermitted.complete(false);
+    response.complete(value);
   }
 
-  void completeDispatch() {
-    mayDispatch.complete(true);
+  void permitDispatch() {
+    dispatchPermitted.complete(true);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerPeers.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerPeerSender.java
@@ -5,7 +5,7 @@
 
 /** Sends ledger messages to other nodes. */
 @FunctionalInterface
-public interface LedgerPeers {
+public interface LedgerPeerSender {
   /** Sends a message; must not block, may lose it, and must not call the service back at once. */
   void send(HostId to, LedgerMessage message);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -36,21 +36,21 @@
  * one thread of this service.
  */
 public final class LedgerService {
-  private static final Duration DROP_IDLE_SHARDS = Duration.ofMinutes(1);
-  private static final Duration DRAIN_CHECK = Duration.ofMillis(20);
+  private static final Duration IDLE_SHARD_REMOVAL_PERIOD = Duration.ofMinutes(1);
+  private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(20);
   private static final int NONCE_HALF_BYTES = 8;
 
   private final LedgerSettings settings;
   private final Membership membership;
-  private final Optional<LedgerPeers> peers;
+  private final Optional<LedgerPeerSender> peers;
   private final InstantSource wallClock;
   private final RandomGenerator random;
   private final String noncePrefix;
   private final EventLoop loop = new EventLoop("ledger");
-  private final StoreCalls storeCalls;
+  private final ShardStoreClient storeClient;
   private final LedgerNode node;
-  private final Map<String, KeyedCall> calls = new HashMap<>();
-  private final Map<Integer, TimerSubscription> wakes = new HashMap<>();
+  private final Map<String, KeyedRequestHandle> openRequests = new HashMap<>();
+  private final Map<Integer, TimerSubscription> shardTimers = new HashMap<>();
 
   /**
    * Creates the service.
@@ -65,7 +65,7 @@
       LedgerSettings settings,
       Membership membership,
       ObjectStoreClient store,
-      Optional<LedgerPeers> peers,
+      Optional<LedgerPeerSender> peers,
       InstantSource wallClock,
       RandomGenerator random) {
     this.settings = settings;
@@ -74,15 +74,15 @@
     this.wallClock = wallClock;
     this.random = random;
     noncePrefix = randomHex();
-    storeCalls = new StoreCalls(store, loop);
+    storeClient = new ShardStoreClient(store, loop);
     node =
         new LedgerNode(
-            settings.self(), noncePrefix, settings.limits(), settings.policy(), new Output());
+            settings.self(), noncePrefix, settings.limits(), settings.timeouts(), new OutputHandler());
   }
 
   /** Starts the periodic removal of shards that are not used. */
   public void start() {
-    loop.every(DROP_IDLE_SHARDS, node::dropIdleShards);
+    loop.every(IDLE_SHARD_REMOVAL_PERIOD, node::dropIdleShards);
   }
 
   /**
@@ -95,7 +95,7 @@
    * @param deadlineNanos final deadline, in the time of {@link System#nanoTime}
    * @throws IllegalArgumentException when key or digest is malformed
    */
-  public KeyedCall begin(
+  public KeyedRequestHandle begin(
       WorkspaceId workspace, String key, String requestDigest, long deadlineNanos) {
     Attempt attempt =
         new Attempt(
@@ -105,15 +105,15 @@
             settings.self().value(),
             membership.incarnation());
     String nonce = attempt.nonce();
-    KeyedCall call =
-        new KeyedCall(deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
+    KeyedRequestHandle call =
+        new KeyedRequestHandle(deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
     if (KeyAge.isExpired(key, settings.limits().get().retention(), now().wallClockSeconds())) {
-      call.completeReply(new KeyedResponse.KeyExpired());
+      call.completeResponse(new KeyedResponse.KeyExpired());
       return call;
     }
     loop.execute(
         () -> {
-          calls.put(nonce, call);
+          openRequests.put(nonce, call);
           node.setMembers(
               peers.isPresent() ? membership.live() : List.of(), settings.storeRegion());
           node.begin(attempt, deadlineNanos, now());
@@ -147,14 +147,14 @@
     if (node.isIdle() || loop.nanos() - endNanos >= 0) {
       drained.complete(node.isIdle());
     } else {
-      loop.schedule(DRAIN_CHECK, () -> checkDrained(drained, endNanos));
+      loop.schedule(DRAIN_CHECK_PERIOD, () -> checkDrained(drained, endNanos));
     }
   }
 
-  private void handle(String nonce, KeyedCall call, KeyedRequestEvent event) {
+  private void handle(String nonce, KeyedRequestHandle call, KeyedRequestEvent event) {
     // A caller that left between the permission to dispatch and its claim was not dispatched.
     boolean unclaimed =
-        event instanceof KeyedRequestEvent.CallerDisconnected && call.mayDispatch().getNow(false);
+        event instanceof KeyedRequestEvent.CallerDisconnected && call.dispatchPermitted().getNow(false);
     node.handle(
         nonce,
         unclaimed ? new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent()) : event,
@@ -172,25 +172,25 @@
   }
 
   /** Carries out what the node asks for; every answer comes as a later task of the loop. */
-  private final class Output implements LedgerOutput {
+  private final class OutputHandler implements LedgerOutput {
     @Override
     public void read(int shard) {
-      storeCalls.read(shard, toShard(shard));
+      storeClient.read(shard, shardEventConsumer(shard));
     }
 
     @Override
     public void write(int shard, String version, JsonNode content) {
-      storeCalls.write(shard, version, content, toShard(shard));
+      storeClient.write(shard, version, content, shardEventConsumer(shard));
     }
 
-    private Consumer<ShardEvent> toShard(int shard) {
+    private Consumer<ShardEvent> shardEventConsumer(int shard) {
       return event -> node.handle(shard, event, now());
     }
 
     @Override
     public void setShardTimer(int shard, long atNanos) {
       @Nullable TimerSubscription old =
-          wakes.put(
+          shardTimers.put(
               shard,
               loop.schedule(
                   Duration.ofNanos(atNanos - loop.nanos()),
@@ -209,21 +209,21 @@
 
     @Override
     public void dispatch(String nonce) {
-      KeyedCall call = calls.get(nonce);
-      if (call == null || call.callerIsGone()) {
+      KeyedRequestHandle call = openRequests.get(nonce);
+      if (call == null || call.isCallerDisconnected()) {
         KeyedRequestEvent notSent =
             new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent());
         loop.execute(() -> node.handle(nonce, notSent, now()));
       } else {
-        call.completeDispatch();
+        call.permitDispatch();
       }
     }
 
     @Override
     public void respond(String nonce, KeyedResponse reply) {
-      KeyedCall call = calls.remove(nonce);
+      KeyedRequestHandle call = openRequests.remove(nonce);
       if (call != null) {
-        call.completeReply(reply);
+        call.completeResponse(reply);
       }
     }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
@@ -14,10 +14,10 @@
  * @param storeRegion region of the object service, whose nodes own the shards; empty when not known
  * @param limits limits from the manifest in force; read whenever a shard is opened and at every key
  *     check, on any thread
- * @param policy waiting times
+ * @param timeouts waiting times
  */
 public record LedgerSettings(
     HostId self,
     Optional<RegionId> storeRegion,
     Supplier<LedgerLimits> limits,
-    KeyedRequestTimeouts policy) {}
+    KeyedRequestTimeouts timeouts) {}
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/StoreCalls.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/ShardStoreClient.java
@@ -16,29 +16,29 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /** Reads and writes shard objects and reports the results as events on the loop's thread. */
-final class StoreCalls {
+final class ShardStoreClient {
   private static final String KIND = "ledger";
 
   private final ObjectStoreClient store;
   private final EventLoop loop;
-  private final Set<Integer> failing = new HashSet<>();
+  private final Set<Integer> failingShards = new HashSet<>();
 
-  StoreCalls(ObjectStoreClient store, EventLoop loop) {
+  ShardStoreClient(ObjectStoreClient store, EventLoop loop) {
     this.store = store;
     this.loop = loop;
   }
 
   void read(int shard, Consumer<ShardEvent> result) {
-    whenDone(store.get(KIND, LedgerKey.shardName(shard)), r -> result.accept(toEvent(shard, r)));
+    runOnLoop(store.get(KIND, LedgerKey.shardName(shard)), r -> result.accept(toEvent(shard, r)));
   }
 
   void write(int shard, String version, JsonNode content, Consumer<ShardEvent> result) {
-    whenDone(
+    runOnLoop(
         store.put(KIND, LedgerKey.shardName(shard), version, content),
         r -> result.accept(toEvent(shard, r)));
   }
 
-  private <T> void whenDone(CompletableFuture<T> future, Consumer<T> action) {
+  private <T> void runOnLoop(CompletableFuture<T> future, Consumer<T> action) {
     CompletableFuture<Void> unused =
         future.thenAccept(result -> loop.execute(() -> action.accept(result)));
   }
@@ -47,18 +47,18 @@
     return switch (result) {
       case ReadResult.Found f -> {
         if (!ShardWriter.canRead(f.object().spec())) {
-          failed(shard, "content is not of a format that this release can read");
+          recordFailure(shard, "content is not of a format that this release can read");
           yield new ShardEvent.ReadFailed();
         }
-        worked(shard);
+        recordSuccess(shard);
         yield new ShardEvent.ReadFinished(f.object().version(), f.object().spec());
       }
       case ReadResult.NotFound n -> {
-        worked(shard);
+        recordSuccess(shard);
         yield new ShardEvent.ReadFinished("", null);
       }
       case ReadResult.Failed f -> {
-        failed(shard, f.reason());
+        recordFailure(shard, f.reason());
         yield new ShardEvent.ReadFailed();
       }
     };
@@ -69,7 +69,7 @@
       case WriteResult.Stored s -> new ShardEvent.WriteStored(s.version());
       case WriteResult.Conflict c -> new ShardEvent.WriteConflicted();
       case WriteResult.Refused r -> {
-        failed(shard, r.reason());
+        recordFailure(shard, r.reason());
         yield new ShardEvent.WriteRefused(r.tooLarge(), r.retryAfter().toNanos());
       }
       case WriteResult.Unknown u -> {
@@ -79,14 +79,14 @@
     };
   }
 
-  private void failed(int shard, String reason) {
-    if (failing.add(shard)) {
+  private void recordFailure(int shard, String reason) {
+    if (failingShards.add(shard)) {
       EventLog.log(LogEvent.LEDGER_STORE_FAILS, shard, reason);
     }
   }
 
-  private void worked(int shard) {
-    if (failing.remove(shard)) {
+  private void recordSuccess(int shard) {
+    if (failingShards.remove(shard)) {
       EventLog.log(LogEvent.LEDGER_STORE_BACK, shard);
     }
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeViews.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeViews.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.routing.ExplainLog;
 import org.mustardlatch.daemon.routing.RoutingService;
-import org.mustardlatch.daemon.upstream.EngineCalls;
+import org.mustardlatch.daemon.upstream.EngineClient;
 
 /** What operators see of the state of a node. */
 public final class NodeViews {
@@ -26,7 +26,7 @@
   private final ManifestInForce manifest;
   private final Membership members;
   private final RoutingService routing;
-  private final EngineCalls engines;
+  private final EngineClient engines;
   private final Supplier<Map<String, Object>> internals;
 
   /**
@@ -40,7 +40,7 @@
       ManifestInForce manifest,
       Membership members,
       RoutingService routing,
-      EngineCalls engines,
+      EngineClient engines,
       Supplier<Map<String, Object>> internals) {
     this.settings = settings;
     this.state = state;
@@ -61,7 +61,7 @@
     status.put("ready", state.phase() == NodeState.Phase.READY);
     status.put("revision", manifest.revision());
     manifest.current().ifPresent(m -> status.put("digest", m.digest()));
-    status.put("requests_in_progress", routing.inProgress());
+    status.put("requests_in_progress", routing.requestsInProgress());
     ArrayNode list = status.putArray("members");
     members
         .live()
@@ -78,9 +78,9 @@
   /** Returns the whole state. */
   ObjectNode dump() {
     ObjectNode dump = status();
-    dump.put("engine_calls_in_progress", engines.inProgress());
+    dump.put("engine_calls_in_progress", engines.callsInProgress());
     ArrayNode requests = dump.putArray("requests");
-    routing.requests().forEach(id -> requests.add(id.value()));
+    routing.requestIds().forEach(id -> requests.add(id.value()));
     internals.get().forEach((part, value) -> dump.set(part, JSON.valueToTree(value)));
     manifest.current().ifPresent(m -> dump.put("manifest", m.text()));
     return dump;
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
@@ -14,14 +14,14 @@
 
   private static final int MAX_ENTRIES_PER_REQUEST = 64;
 
-  private final Cache<RequestId, List<Entry>> entries =
+  private final Cache<RequestId, List<Entry>> entriesByRequest =
       CacheBuilder.newBuilder().maximumSize(MAX_REQUESTS).build();
 
   synchronized void add(RequestId request, Entry entry) {
-    List<Entry> list = entries.getIfPresent(request);
+    List<Entry> list = entriesByRequest.getIfPresent(request);
     if (list == null) {
       list = new ArrayList<>();
-      entries.put(request, list);
+      entriesByRequest.put(request, list);
     }
     if (list.size() < MAX_ENTRIES_PER_REQUEST) {
       list.add(entry);
@@ -30,7 +30,7 @@
 
   /** Returns the decisions about a request, oldest first; empty when it is not known. */
   public synchronized List<Entry> find(RequestId request) {
-    @Nullable List<Entry> list = entries.getIfPresent(request);
+    @Nullable List<Entry> list = entriesByRequest.getIfPresent(request);
     return list == null ? List.of() : List.copyOf(list);
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/Exchange.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationExchange.java
@@ -8,14 +8,14 @@
 import org.mustardlatch.core.routing.GenerationRequest;
 
 /** A generation request in progress on its entry node. */
-public final class Exchange {
+public final class GenerationExchange {
   private final GenerationRequest request;
   private final GenerationInput input;
   private final ResponseSink sink;
   private final Map<String, JsonNode> transferParameters = new ConcurrentHashMap<>();
 
   /** Creates an exchange without attempts. */
-  public Exchange(GenerationRequest request, GenerationInput input, ResponseSink sink) {
+  public GenerationExchange(GenerationRequest request, GenerationInput input, ResponseSink sink) {
     this.request = request;
     this.input = input;
     this.sink = sink;
@@ -42,7 +42,7 @@
   }
 
   /** Keeps the transfer parameters that a prefill engine returned, for the decode call. */
-  public void keepTransferParameters(String reference, JsonNode parameters) {
+  public void storeTransferParameters(String reference, JsonNode parameters) {
     transferParameters.put(reference, parameters);
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationInput.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationInput.java
@@ -11,7 +11,7 @@
  * @param body the caller's body; must not be changed
  * @param stream whether the caller wants server-sent events
  * @param usageInStream whether the stream ends with an event that tells the usage
- * @param tokenIds whether the prompt is a list of token ids
+ * @param promptIsTokenIds whether the prompt is a list of token ids
  * @param promptTokens length of the prompt, tokens; estimated as bytes / 4 for text
  * @param maxTokens most tokens of the answer
  */
@@ -21,7 +21,7 @@
     ObjectNode body,
     boolean stream,
     boolean usageInStream,
-    boolean tokenIds,
+    boolean promptIsTokenIds,
     int promptTokens,
     int maxTokens) {
   /** Returns the path of the call, the same for callers and engines. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/AnswerSoFar.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/PartialOutput.java
@@ -9,9 +9,9 @@
  * @param tokenIds its token ids; empty unless the prompt is a list of token ids
  * @param tokens its length, tokens
  */
-public record AnswerSoFar(String text, List<Integer> tokenIds, int tokens) {
+public record PartialOutput(String text, List<Integer> tokenIds, int tokens) {
   /** Copies the list. */
-  public AnswerSoFar {
+  public PartialOutput {
     tokenIds = List.copyOf(tokenIds);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
@@ -18,12 +18,12 @@
  */
 public final class ResponseSink {
   private final BlockingQueue<SinkEvent> events = new LinkedBlockingQueue<>();
-  private final LongAdder lateAnswers;
+  private final LongAdder droppedChunks;
   private final StringBuilder text = new StringBuilder();
   private final List<Integer> tokenIds = new ArrayList<>();
   private int tokens;
   private boolean closed;
-  private @Nullable Lane current;
+  private @Nullable Producer currentProducer;
 
   /**
    * Creates an empty sink.
@@ -31,41 +31,41 @@
    * @param lateAnswers counts the pieces that were dropped
    */
   public ResponseSink(LongAdder lateAnswers) {
-    this.lateAnswers = lateAnswers;
+    this.droppedChunks = lateAnswers;
   }
 
   /** Makes a new lane the only one that may add to the answer. */
-  public synchronized Lane open(AttemptId attempt) {
-    Lane lane = new Lane(attempt);
-    current = lane;
+  public synchronized Producer openProducer(AttemptId attempt) {
+    Producer lane = new Producer(attempt);
+    currentProducer = lane;
     return lane;
   }
 
   /** Adds to the answer; returns false and drops the piece when the lane is not the current one. */
-  public synchronized boolean accept(Lane lane, Chunk chunk) {
-    if (closed || lane != current) {
-      lateAnswers.increment();
+  public synchronized boolean append(Producer lane, Chunk chunk) {
+    if (closed || lane != currentProducer) {
+      droppedChunks.increment();
       return false;
     }
     text.append(chunk.text());
     tokenIds.addAll(chunk.tokenIds());
     tokens += chunk.tokens();
-    return events.add(new SinkEvent.Piece(chunk));
+    return events.add(new SinkEvent.ChunkAppended(chunk));
   }
 
   /** Returns whether the lane may still add to the answer. */
-  public synchronized boolean isCurrent(Lane lane) {
-    return !closed && lane == current;
+  public synchronized boolean isCurrent(Producer lane) {
+    return !closed && lane == currentProducer;
   }
 
   /** Returns what was accepted so far. */
-  public synchronized AnswerSoFar soFar() {
-    return new AnswerSoFar(text.toString(), tokenIds, tokens);
+  public synchronized PartialOutput partialOutput() {
+    return new PartialOutput(text.toString(), tokenIds, tokens);
   }
 
   /** Ends a complete answer. */
   public synchronized void complete() {
-    close(new SinkEvent.End());
+    close(new SinkEvent.Completed());
   }
 
   /** Ends the request without a complete answer; does nothing after the first end. */
@@ -74,12 +74,12 @@
   }
 
   /** Closes the sink without an end, because nobody listens any more. */
-  public synchronized void abandon() {
+  public synchronized void closeSilently() {
     closed = true;
   }
 
   /** Returns the next event, or null when none came within the given time. */
-  public @Nullable SinkEvent next(Duration wait) throws InterruptedException {
+  public @Nullable SinkEvent poll(Duration wait) throws InterruptedException {
     return events.poll(wait.toNanos(), TimeUnit.NANOSECONDS);
   }
 
@@ -91,10 +91,10 @@
   }
 
   /** The right of one engine call to add to the answer. Compared by identity. */
-  public static final class Lane {
+  public static final class Producer {
     private final AttemptId attempt;
 
-    private Lane(AttemptId attempt) {
+    private Producer(AttemptId attempt) {
       this.attempt = attempt;
     }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
@@ -18,29 +18,29 @@
 public final class RoutingService {
   private final EventLoop loop;
   private final PolicyRunner runner;
-  private final EngineCommands engines;
+  private final EngineCommandExecutor engines;
   private final PeerSender peers;
   private final ExplainLog explanations = new ExplainLog();
-  private final Map<RequestId, Exchange> exchanges = new ConcurrentHashMap<>();
+  private final Map<RequestId, GenerationExchange> exchanges = new ConcurrentHashMap<>();
 
   /** Creates a service; events may be posted at once. */
   public RoutingService(
-      EventLoop loop, RoutingPolicy policy, EngineCommands engines, PeerSender peers) {
+      EventLoop loop, RoutingPolicy policy, EngineCommandExecutor engines, PeerSender peers) {
     this.loop = loop;
-    this.runner = new PolicyRunner(loop, policy, this::carryOut);
+    this.runner = new PolicyRunner(loop, policy, this::execute);
     this.engines = engines;
     this.peers = peers;
   }
 
   /** Takes a request; its sink gets exactly one end. */
-  public void submit(Exchange exchange) {
+  public void submit(GenerationExchange exchange) {
     exchanges.put(exchange.id(), exchange);
     post(new RoutingEvent.RequestArrived(exchange.request()));
   }
 
   /** Reports that the caller of a request is gone; its sink accepts nothing more. */
-  public void callerGone(Exchange exchange) {
-    exchange.sink().abandon();
+  public void callerDisconnected(GenerationExchange exchange) {
+    exchange.sink().closeSilently();
     exchanges.remove(exchange.id());
     post(new RoutingEvent.CallerDisconnected(exchange.id()));
   }
@@ -51,12 +51,12 @@
   }
 
   /** Returns the number of requests in progress. */
-  public int inProgress() {
+  public int requestsInProgress() {
     return exchanges.size();
   }
 
   /** Returns the ids of the requests in progress. */
-  public List<RequestId> requests() {
+  public List<RequestId> requestIds() {
     return exchanges.keySet().stream().sorted().toList();
   }
 
@@ -65,7 +65,7 @@
     return explanations;
   }
 
-  private void carryOut(RoutingCommand command) {
+  private void execute(RoutingCommand command) {
     switch (command) {
       case RoutingCommand.ReserveEngine c ->
           throw new IllegalStateException("these engines are not reservable: " + c);
@@ -80,12 +80,12 @@
                   e -> engines.startDecode(e, c.attempt(), c.upstream(), c.handle()),
                   () -> post(new RoutingEvent.CallerDisconnected(c.attempt().request())));
       case RoutingCommand.CancelAttempt c -> engines.cancel(c.attempt(), c.upstream());
-      case RoutingCommand.CancelOrphanedAttempt c -> engines.cancelHeld(c.attempt(), c.upstream());
+      case RoutingCommand.CancelOrphanedAttempt c -> engines.cancelOrphaned(c.attempt(), c.upstream());
       case RoutingCommand.ReleaseKv c -> engines.releaseKv(c.handle());
       case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
       case RoutingCommand.Refuse c ->
-          end(c.request()).ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
-      case RoutingCommand.Complete c -> end(c.request()).ifPresent(e -> e.sink().complete());
+          remove(c.request()).ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
+      case RoutingCommand.Complete c -> remove(c.request()).ifPresent(e -> e.sink().complete());
       case RoutingCommand.SetTimer c ->
           throw new IllegalStateException("the runner keeps timers: " + c);
       case RoutingCommand.CancelTimer c ->
@@ -95,11 +95,11 @@
     }
   }
 
-  private Optional<Exchange> find(RequestId request) {
+  private Optional<GenerationExchange> find(RequestId request) {
     return Optional.ofNullable(exchanges.get(request));
   }
 
-  private Optional<Exchange> end(RequestId request) {
+  private Optional<GenerationExchange> remove(RequestId request) {
     return Optional.ofNullable(exchanges.remove(request));
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/SinkEvent.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/SinkEvent.java
@@ -6,10 +6,10 @@
 /** What the caller of a request gets next. */
 public sealed interface SinkEvent {
   /** A piece of the answer. */
-  record Piece(Chunk chunk) implements SinkEvent {}
+  record ChunkAppended(Chunk chunk) implements SinkEvent {}
 
   /** The end of a complete answer. */
-  record End() implements SinkEvent {}
+  record Completed() implements SinkEvent {}
 
   /**
    * The end without a complete answer.
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationCalls.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
@@ -22,14 +22,14 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /** Calls application services; blocks the calling thread. */
-public final class ApplicationCalls {
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
+public final class ApplicationClient {
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
   private static final Set<String> METHODS_WITH_BODY = Set.of("POST", "PUT", "PATCH", "DELETE");
 
   private final UpstreamHosts hosts;
 
   /** Creates a client for the given upstreams. */
-  public ApplicationCalls(UpstreamHosts hosts) {
+  public ApplicationClient(UpstreamHosts hosts) {
     this.hosts = hosts;
   }
 
@@ -68,9 +68,9 @@
 
   private static ApplicationResult call(
       UpstreamHost host, OkHttpClient.Builder client, ApplicationRequest request, Duration limit) {
-    SentListener listener = new SentListener();
+    RequestSentListener listener = new RequestSentListener();
     OkHttpClient once = client.eventListener(listener).callTimeout(limit).build();
-    HttpUrl url = host.base().resolve(request.pathAndQuery());
+    HttpUrl url = host.baseUrl().resolve(request.pathAndQuery());
     if (url == null) {
       return new ApplicationResult.NotSent("path is not valid: " + request.pathAndQuery());
     }
@@ -80,11 +80,11 @@
         .forEach((name, values) -> values.forEach(value -> builder.addHeader(name, value)));
     builder.method(request.method(), body(request));
     try (Response response = once.newCall(builder.build()).execute()) {
-      return new ApplicationResult.Answered(
+      return new ApplicationResult.Responded(
           response.code(), headers(response), ByteString.of(readBody(response)));
     } catch (IOException e) {
       host.evictConnections();
-      return listener.sent()
+      return listener.mayHaveBeenSent()
           ? new ApplicationResult.Unknown(e.toString())
           : new ApplicationResult.NotSent(e.toString());
     }
@@ -92,9 +92,9 @@
 
   private static byte[] readBody(Response response) throws IOException {
     byte[] bytes =
-        ByteStreams.limit(response.body().byteStream(), MAX_ANSWER_BYTES + 1L).readAllBytes();
-    if (bytes.length > MAX_ANSWER_BYTES) {
-      throw new IOException("answer is longer than " + MAX_ANSWER_BYTES + " bytes");
+        ByteStreams.limit(response.body().byteStream(), MAX_RESPONSE_BYTES + 1L).readAllBytes();
+    if (bytes.length > MAX_RESPONSE_BYTES) {
+      throw new IOException("answer is longer than " + MAX_RESPONSE_BYTES + " bytes");
     }
     return bytes;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationResult.java
@@ -13,7 +13,7 @@
    * @param headers its end-to-end headers
    * @param body its body
    */
-  record Answered(int status, Map<String, List<String>> headers, ByteString body)
+  record Responded(int status, Map<String, List<String>> headers, ByteString body)
       implements ApplicationResult {}
 
   /** Nothing was sent, so nothing ran. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/Owner.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
@@ -9,9 +9,9 @@
  * @param host this node
  * @param incarnation returns its current incarnation
  */
-public record Owner(HostId host, LongSupplier incarnation) {
+public record AttemptOwner(HostId host, LongSupplier incarnation) {
   /** Returns the value of {@code X-Router-Incarnation}. */
-  String header() {
+  String headerValue() {
     return host + "/" + incarnation.getAsLong();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
@@ -15,43 +15,43 @@
  */
 final class CancelTask implements Runnable {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(5);
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(5);
 
   /** After this time the engine's list of held attempts is used instead. */
-  private static final Duration GIVE_UP_AFTER = Duration.ofSeconds(60);
+  private static final Duration ACKNOWLEDGEMENT_TIMEOUT = Duration.ofSeconds(60);
 
   private final UpstreamHost host;
   private final String attempt;
   private final TimerService timers;
   private final Executor executor;
-  private final long giveUpNanos;
-  private Duration pause = FIRST_PAUSE;
+  private final long acknowledgementDeadlineNanos;
+  private Duration backoff = INITIAL_BACKOFF;
 
   CancelTask(UpstreamHost host, String attempt, TimerService timers, Executor executor) {
     this.host = host;
     this.attempt = attempt;
     this.timers = timers;
     this.executor = executor;
-    this.giveUpNanos = timers.nanos() + GIVE_UP_AFTER.toNanos();
+    this.acknowledgementDeadlineNanos = timers.nanos() + ACKNOWLEDGEMENT_TIMEOUT.toNanos();
   }
 
   @Override
   public void run() {
-    if (acknowledged()) {
+    if (sendCancellation()) {
       return;
     }
-    if (timers.nanos() >= giveUpNanos) {
+    if (timers.nanos() >= acknowledgementDeadlineNanos) {
       EventLog.log(LogEvent.CANCEL_NOT_ACKNOWLEDGED, host.id(), attempt);
       return;
     }
     host.evictConnections();
-    timers.schedule(pause, () -> executor.execute(this));
-    Duration doubled = pause.multipliedBy(2);
-    pause = doubled.compareTo(LONGEST_PAUSE) < 0 ? doubled : LONGEST_PAUSE;
+    timers.schedule(backoff, () -> executor.execute(this));
+    Duration doubled = backoff.multipliedBy(2);
+    backoff = doubled.compareTo(MAX_BACKOFF) < 0 ? doubled : MAX_BACKOFF;
   }
 
-  private boolean acknowledged() {
+  private boolean sendCancellation() {
     Request request =
         new Request.Builder().url(host.url("/v1/requests/" + attempt)).delete().build();
     try (Response response =
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
@@ -14,31 +14,31 @@
 import org.mustardlatch.core.routing.Failure;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.daemon.routing.Chunk;
-import org.mustardlatch.daemon.routing.Exchange;
-import org.mustardlatch.daemon.routing.ResponseSink.Lane;
+import org.mustardlatch.daemon.routing.GenerationExchange;
+import org.mustardlatch.daemon.routing.ResponseSink.Producer;
 
 /** Has an engine fetch a KV cache and generate; passes the tokens to the request's sink. */
 final class DecodeCall extends EngineCall {
   private static final String LAST_EVENT = "[DONE]";
 
-  private final Lane lane;
+  private final Producer producer;
 
   DecodeCall(
       EngineContext context,
       UpstreamHost host,
-      Exchange exchange,
-      Lane lane,
-      ProgressLimits limits,
+      GenerationExchange exchange,
+      Producer lane,
+      ProgressTimeouts limits,
       Call call) {
     super(context, host, exchange, lane.attempt(), limits, call);
-    this.lane = lane;
+    this.producer = lane;
   }
 
   @Override
-  void read(Response response, ProgressWatch watch) throws IOException {
+  void readResponse(Response response, ProgressMonitor watch) throws IOException {
     post(new RoutingEvent.DecodeStarted(attempt()));
-    watch.progress(limits().firstToken());
-    Reader reader = new Reader(watch);
+    watch.recordProgress(timeouts().firstToken());
+    StreamListener reader = new StreamListener(watch);
     EventSources.processResponse(response, reader);
     if (!reader.finished && !isCancelled()) {
       throw new IOException("stream ended before its last event", reader.error);
@@ -46,34 +46,34 @@
   }
 
   @Override
-  RoutingEvent failed(Failure failure) {
+  RoutingEvent failureEvent(Failure failure) {
     return new RoutingEvent.DecodeFailed(attempt(), failure);
   }
 
-  private void accept(JsonNode event, Reader reader) {
-    int total = event.path("usage").path("completion_tokens").asInt(reader.tokens + 1);
+  private void handleEvent(JsonNode event, StreamListener reader) {
+    int total = event.path("usage").path("completion_tokens").asInt(reader.tokensReceived + 1);
     JsonNode choice = event.path("choices").path(0);
     if (!(choice instanceof ObjectNode object)) {
       return;
     }
-    Chunk chunk = chunk(object, total - reader.tokens);
-    reader.tokens = total;
-    if (exchange().sink().accept(lane, chunk)) {
+    Chunk chunk = toChunk(object, total - reader.tokensReceived);
+    reader.tokensReceived = total;
+    if (exchange().sink().append(producer, chunk)) {
       post(new RoutingEvent.TokensArrived(attempt(), chunk.tokens()));
     }
     if (chunk.finishReason() != null) {
-      finish(reader);
+      finishStream(reader);
     }
   }
 
-  private void finish(Reader reader) {
+  private void finishStream(StreamListener reader) {
     reader.finished = true;
-    if (exchange().sink().isCurrent(lane)) {
+    if (exchange().sink().isCurrent(producer)) {
       post(new RoutingEvent.DecodeFinished(attempt()));
     }
   }
 
-  private Chunk chunk(ObjectNode choice, int tokens) {
+  private Chunk toChunk(ObjectNode choice, int tokens) {
     List<Integer> ids = new ArrayList<>();
     choice.path("token_ids").forEach(id -> ids.add(id.asInt()));
     choice.remove("token_ids");
@@ -86,29 +86,29 @@
   }
 
   /** Collects the events of the stream on the thread of the call. */
-  private final class Reader extends EventSourceListener {
-    private final ProgressWatch watch;
-    private int tokens;
+  private final class StreamListener extends EventSourceListener {
+    private final ProgressMonitor monitor;
+    private int tokensReceived;
     private boolean finished;
     private @Nullable Throwable error;
 
-    Reader(ProgressWatch watch) {
-      this.watch = watch;
+    StreamListener(ProgressMonitor watch) {
+      this.monitor = watch;
     }
 
     @Override
     public void onEvent(
         EventSource source, @Nullable String id, @Nullable String type, String data) {
-      watch.progress(limits().gap());
+      monitor.recordProgress(timeouts().tokenGap());
       if (finished) {
         return;
       }
       if (data.equals(LAST_EVENT)) {
-        finish(this);
+        finishStream(this);
         return;
       }
       try {
-        accept(EngineJson.read(data), this);
+        handleEvent(EngineJson.parse(data), this);
       } catch (IOException e) {
         error = e;
         source.cancel();
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
@@ -8,67 +8,67 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.routing.Failure;
 import org.mustardlatch.core.routing.RoutingEvent;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 
 /** One call of an engine for an attempt; runs on a virtual thread of its own. */
 abstract class EngineCall implements Runnable {
   private static final int STATUS_GONE = 410;
-  private static final int STATUS_TOO_MANY = 429;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
 
   private final EngineContext context;
   private final UpstreamHost host;
-  private final Exchange exchange;
+  private final GenerationExchange exchange;
   private final AttemptId attempt;
-  private final ProgressLimits limits;
+  private final ProgressTimeouts timeouts;
   private final Call call;
   private volatile boolean cancelled;
 
   EngineCall(
       EngineContext context,
       UpstreamHost host,
-      Exchange exchange,
+      GenerationExchange exchange,
       AttemptId attempt,
-      ProgressLimits limits,
+      ProgressTimeouts limits,
       Call call) {
     this.context = context;
     this.host = host;
     this.exchange = exchange;
     this.attempt = attempt;
-    this.limits = limits;
+    this.timeouts = limits;
     this.call = call;
   }
 
   @Override
   public final void run() {
-    ProgressWatch watch = new ProgressWatch(context.timers(), call, limits.firstToken());
+    ProgressMonitor watch = new ProgressMonitor(context.timers(), call, timeouts.firstToken());
     try {
       try (Response response = call.execute()) {
         if (response.isSuccessful()) {
-          read(response, watch);
-          host.noteProgress();
+          readResponse(response, watch);
+          host.recordSuccess();
         } else {
-          fail(refusal(response));
+          postFailure(classifyErrorResponse(response));
         }
       }
     } catch (ConnectException e) {
-      fail(Failure.REFUSED);
+      postFailure(Failure.REFUSED);
     } catch (IOException e) {
       if (cancelled) {
         return;
       }
-      fail(context.probe().classify(host, attempt, watch.expired()));
+      postFailure(context.failureProbe().classify(host, attempt, watch.expired()));
     } finally {
       watch.close();
-      context.calls().remove(this);
+      context.activeCalls().remove(this);
     }
   }
 
   /** Reads a successful answer and posts the events that it means. */
-  abstract void read(Response response, ProgressWatch watch) throws IOException;
+  abstract void readResponse(Response response, ProgressMonitor watch) throws IOException;
 
   /** Returns the event for a failure. */
-  abstract RoutingEvent failed(Failure failure);
+  abstract RoutingEvent failureEvent(Failure failure);
 
   /** Ends the call without further events. */
   final void cancel() {
@@ -86,8 +86,8 @@
     }
   }
 
-  final void fail(Failure failure) {
-    post(failed(failure));
+  final void postFailure(Failure failure) {
+    post(failureEvent(failure));
   }
 
   final EngineContext context() {
@@ -98,7 +98,7 @@
     return host;
   }
 
-  final Exchange exchange() {
+  final GenerationExchange exchange() {
     return exchange;
   }
 
@@ -106,20 +106,20 @@
     return attempt;
   }
 
-  final ProgressLimits limits() {
-    return limits;
+  final ProgressTimeouts timeouts() {
+    return timeouts;
   }
 
-  private Failure refusal(Response response) throws IOException {
+  private Failure classifyErrorResponse(Response response) throws IOException {
     if (response.header("X-Leaving") != null) {
       context.events().accept(new RoutingEvent.UpstreamLeaving(host.id()));
     }
     return switch (response.code()) {
-      case STATUS_UNAVAILABLE, STATUS_TOO_MANY -> Failure.REFUSED;
+      case STATUS_UNAVAILABLE, STATUS_TOO_MANY_REQUESTS -> Failure.REFUSED;
       case STATUS_GONE -> Failure.KV_EXPIRED;
       default -> {
-        JsonNode error = EngineJson.read(response.body().string()).path("error");
-        context.logFailure(host, attempt, response.code(), error.path("message").asText());
+        JsonNode error = EngineJson.parse(response.body().string()).path("error");
+        context.logUpstreamError(host, attempt, response.code(), error.path("message").asText());
         yield Failure.REFUSED;
       }
     };
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCalls.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
@@ -16,19 +16,19 @@
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.daemon.node.ManifestInForce;
-import org.mustardlatch.daemon.routing.EngineCommands;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.EngineCommandExecutor;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
-import org.mustardlatch.daemon.routing.ResponseSink.Lane;
+import org.mustardlatch.daemon.routing.ResponseSink.Producer;
 
 /** Calls engines for the routing policy. */
-public final class EngineCalls implements EngineCommands {
+public final class EngineClient implements EngineCommandExecutor {
   private final UpstreamHosts hosts;
   private final ManifestInForce manifest;
   private final TimerService timers;
   private final Executor executor;
-  private final Owner owner;
-  private final ActiveCalls calls = new ActiveCalls();
+  private final AttemptOwner owner;
+  private final ActiveCalls activeCalls = new ActiveCalls();
   private final EngineContext context;
   private final Consumer<RoutingEvent> events;
 
@@ -38,12 +38,12 @@
    * @param executor runs blocking calls, one virtual thread each
    * @param events takes what the calls report
    */
-  public EngineCalls(
+  public EngineClient(
       UpstreamHosts hosts,
       ManifestInForce manifest,
       TimerService timers,
       Executor executor,
-      Owner owner,
+      AttemptOwner owner,
       Consumer<RoutingEvent> events) {
     this.hosts = hosts;
     this.manifest = manifest;
@@ -51,50 +51,50 @@
     this.executor = executor;
     this.owner = owner;
     this.events = events;
-    this.context = new EngineContext(timers, calls, new FailureProbe(), events);
+    this.context = new EngineContext(timers, activeCalls, new FailureProbe(), events);
   }
 
   @Override
-  public void startPrefill(Exchange exchange, AttemptId attempt, UpstreamId upstream) {
+  public void startPrefill(GenerationExchange exchange, AttemptId attempt, UpstreamId upstream) {
     // From here on the earlier attempt must not add to the answer, or the longer prompt of this one
     // would lack what it adds.
-    exchange.sink().open(attempt);
+    exchange.sink().openProducer(attempt);
     Optional<UpstreamHost> host = hosts.find(upstream);
     if (host.isEmpty()) {
       events.accept(new RoutingEvent.PrefillFailed(attempt, Failure.REFUSED));
       return;
     }
-    RequestBody body = EngineBodies.prefill(exchange.input(), exchange.sink().soFar());
+    RequestBody body = EngineRequestBodies.prefill(exchange.input(), exchange.sink().partialOutput());
     Call call = call(host.get(), exchange.input().path(), attempt, body);
-    start(new PrefillCall(context, host.get(), exchange, attempt, limits(exchange), call));
+    start(new PrefillCall(context, host.get(), exchange, attempt, timeouts(exchange), call));
   }
 
   @Override
   public void startDecode(
-      Exchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle) {
-    Lane lane = exchange.sink().open(attempt);
+      GenerationExchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle) {
+    Producer lane = exchange.sink().openProducer(attempt);
     Optional<UpstreamHost> host = hosts.find(upstream);
-    Optional<HttpUrl> source = hosts.find(handle.source()).map(UpstreamHost::base);
+    Optional<HttpUrl> source = hosts.find(handle.source()).map(UpstreamHost::baseUrl);
     Optional<JsonNode> transfer = exchange.transferParameters(handle.reference());
     if (host.isEmpty() || source.isEmpty() || transfer.isEmpty()) {
       events.accept(new RoutingEvent.DecodeFailed(attempt, Failure.REFUSED));
       return;
     }
     RequestBody body =
-        EngineBodies.decode(
-            exchange.input(), exchange.sink().soFar(), transfer.get(), source.get());
+        EngineRequestBodies.decode(
+            exchange.input(), exchange.sink().partialOutput(), transfer.get(), source.get());
     Call call = call(host.get(), exchange.input().path(), attempt, body);
-    start(new DecodeCall(context, host.get(), exchange, lane, limits(exchange), call));
+    start(new DecodeCall(context, host.get(), exchange, lane, timeouts(exchange), call));
   }
 
   @Override
   public void cancel(AttemptId attempt, UpstreamId upstream) {
-    calls.cancel(attempt, upstream);
+    activeCalls.cancel(attempt, upstream);
     cancel(attempt.toString(), upstream);
   }
 
   @Override
-  public void cancelHeld(ReportedAttempt held, UpstreamId upstream) {
+  public void cancelOrphaned(ReportedAttempt held, UpstreamId upstream) {
     cancel(held.attempt(), upstream);
   }
 
@@ -104,8 +104,8 @@
   }
 
   /** Returns the number of engine calls in progress. */
-  public int inProgress() {
-    return calls.size();
+  public int callsInProgress() {
+    return activeCalls.size();
   }
 
   private void cancel(String attempt, UpstreamId upstream) {
@@ -115,7 +115,7 @@
   }
 
   private void start(EngineCall call) {
-    calls.add(call);
+    activeCalls.add(call);
     executor.execute(call);
   }
 
@@ -125,17 +125,17 @@
             new Request.Builder()
                 .url(host.url(path))
                 .header("X-Request-Id", attempt.toString())
-                .header("X-Router-Incarnation", owner.header())
+                .header("X-Router-Incarnation", owner.headerValue())
                 .post(body)
                 .build());
   }
 
-  private ProgressLimits limits(Exchange exchange) {
+  private ProgressTimeouts timeouts(GenerationExchange exchange) {
     GenerationInput input = exchange.input();
     return manifest
         .current()
         .flatMap(applied -> applied.manifest().model(input.model()))
-        .map(ProgressLimits::of)
-        .orElse(ProgressLimits.DEFAULT);
+        .map(ProgressTimeouts::forModel)
+        .orElse(ProgressTimeouts.DEFAULT);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineContext.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineContext.java
@@ -11,14 +11,14 @@
  * What every engine call needs.
  *
  * @param timers timers
- * @param calls calls in progress
- * @param probe finds out what a broken call means
+ * @param activeCalls calls in progress
+ * @param failureProbe finds out what a broken call means
  * @param events takes the events that calls produce
  */
 record EngineContext(
-    TimerService timers, ActiveCalls calls, FailureProbe probe, Consumer<RoutingEvent> events) {
+    TimerService timers, ActiveCalls activeCalls, FailureProbe failureProbe, Consumer<RoutingEvent> events) {
 
-  void logFailure(UpstreamHost host, AttemptId attempt, int status, String message) {
+  void logUpstreamError(UpstreamHost host, AttemptId attempt, int status, String message) {
     EventLog.log(LogEvent.UPSTREAM_ERROR, host.id(), status, attempt, message);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineJson.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineJson.java
@@ -12,7 +12,7 @@
 
   private EngineJson() {}
 
-  static JsonNode missing() {
+  static JsonNode missingNode() {
     return MissingNode.getInstance();
   }
 
@@ -21,7 +21,7 @@
    *
    * @throws IOException when the text is not JSON
    */
-  static JsonNode read(String text) throws IOException {
+  static JsonNode parse(String text) throws IOException {
     try {
       return MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineBodies.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineRequestBodies.java
@@ -6,7 +6,7 @@
 import okhttp3.HttpUrl;
 import okhttp3.MediaType;
 import okhttp3.RequestBody;
-import org.mustardlatch.daemon.routing.AnswerSoFar;
+import org.mustardlatch.daemon.routing.PartialOutput;
 import org.mustardlatch.daemon.routing.GenerationInput;
 
 /**
@@ -14,13 +14,13 @@
  * prompt: appended to a text or a list of token ids, or as a last message that the engine goes on
  * with.
  */
-final class EngineBodies {
+final class EngineRequestBodies {
   private static final MediaType JSON = MediaType.get("application/json");
 
-  private EngineBodies() {}
+  private EngineRequestBodies() {}
 
-  static RequestBody prefill(GenerationInput input, AnswerSoFar soFar) {
-    ObjectNode body = common(input, soFar);
+  static RequestBody prefill(GenerationInput input, PartialOutput soFar) {
+    ObjectNode body = commonBody(input, soFar);
     body.put("max_tokens", 1).put("stream", false);
     body.putObject("kv_transfer_params").put("do_remote_decode", true);
     return RequestBody.create(body.toString(), JSON);
@@ -33,11 +33,11 @@
    * @param source base URL of the prefill engine
    */
   static RequestBody decode(
-      GenerationInput input, AnswerSoFar soFar, JsonNode transfer, HttpUrl source) {
-    ObjectNode body = common(input, soFar);
+      GenerationInput input, PartialOutput soFar, JsonNode transfer, HttpUrl source) {
+    ObjectNode body = commonBody(input, soFar);
     body.put("max_tokens", input.maxTokens() - soFar.tokens()).put("stream", true);
     body.putObject("stream_options").put("include_usage", true).put("continuous_usage_stats", true);
-    if (input.tokenIds()) {
+    if (input.promptIsTokenIds()) {
       body.put("return_token_ids", true);
     }
     ObjectNode parameters = transfer.deepCopy();
@@ -47,12 +47,12 @@
     return RequestBody.create(body.toString(), JSON);
   }
 
-  private static ObjectNode common(GenerationInput input, AnswerSoFar soFar) {
-    ObjectNode body = body(input);
+  private static ObjectNode commonBody(GenerationInput input, PartialOutput soFar) {
+    ObjectNode body = copyCallerBody(input);
     if (soFar.tokens() > 0) {
       if (input.chat()) {
-        continueChat(body, soFar.text());
-      } else if (input.tokenIds()) {
+        appendPartialMessage(body, soFar.text());
+      } else if (input.promptIsTokenIds()) {
         ArrayNode ids = body.withArray("prompt").deepCopy();
         soFar.tokenIds().forEach(ids::add);
         body.set("prompt", ids);
@@ -64,7 +64,7 @@
   }
 
   /** Returns a shallow copy: values of the caller's body are shared and must not be changed. */
-  private static ObjectNode body(GenerationInput input) {
+  private static ObjectNode copyCallerBody(GenerationInput input) {
     ObjectNode body = input.body().objectNode();
     body.setAll(input.body());
     body.remove("max_completion_tokens");
@@ -72,7 +72,7 @@
     return body;
   }
 
-  private static void continueChat(ObjectNode body, String text) {
+  private static void appendPartialMessage(ObjectNode body, String text) {
     ArrayNode messages = body.arrayNode();
     body.path("messages").forEach(messages::add);
     messages.addObject().put("role", "assistant").put("content", text);
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/FailureProbe.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/FailureProbe.java
@@ -35,7 +35,7 @@
     Request request = new Request.Builder().url(host.url("/metrics.json")).build();
     try (Response response =
         host.client().newBuilder().callTimeout(TIMEOUT).build().newCall(request).execute()) {
-      if (stalled && host.noteStall()) {
+      if (stalled && host.recordStall()) {
         return Failure.STALLED;
       }
       return response.isSuccessful() ? Failure.DISCONNECTED : Failure.CRASHED;
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/PrefillCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/PrefillCall.java
@@ -9,28 +9,28 @@
 import org.mustardlatch.core.routing.Failure;
 import org.mustardlatch.core.routing.KvHandle;
 import org.mustardlatch.core.routing.RoutingEvent;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 
 /** Has an engine process a prompt and keep the KV cache. */
 final class PrefillCall extends EngineCall {
   PrefillCall(
       EngineContext context,
       UpstreamHost host,
-      Exchange exchange,
+      GenerationExchange exchange,
       AttemptId attempt,
-      ProgressLimits limits,
+      ProgressTimeouts limits,
       Call call) {
     super(context, host, exchange, attempt, limits, call);
   }
 
   @Override
-  void read(Response response, ProgressWatch watch) throws IOException {
-    JsonNode transfer = EngineJson.read(response.body().string()).path("kv_transfer_params");
+  void readResponse(Response response, ProgressMonitor watch) throws IOException {
+    JsonNode transfer = EngineJson.parse(response.body().string()).path("kv_transfer_params");
     String reference = transfer.path("remote_request_id").asText();
     if (reference.isEmpty()) {
       throw new IOException("prefill answer has no kv_transfer_params.remote_request_id");
     }
-    exchange().keepTransferParameters(reference, transfer);
+    exchange().storeTransferParameters(reference, transfer);
     long lifeNanos = Duration.ofMillis(transfer.path("expires_ms").asLong()).toNanos();
     post(
         new RoutingEvent.PrefillFinished(
@@ -43,7 +43,7 @@
   }
 
   @Override
-  RoutingEvent failed(Failure failure) {
+  RoutingEvent failureEvent(Failure failure) {
     return new RoutingEvent.PrefillFailed(attempt(), failure);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ProgressWatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ProgressMonitor.java
@@ -9,7 +9,7 @@
  * Cancels a call that makes no progress. One timer serves all progress of a call: when it fires
  * early it is set again for the rest of the time, so that a token costs no timer operation.
  */
-final class ProgressWatch {
+final class ProgressMonitor {
   private final TimerService timers;
   private final Call call;
   private volatile long deadlineNanos;
@@ -17,15 +17,15 @@
   private volatile boolean closed;
   private volatile TimerSubscription timer = () -> {};
 
-  ProgressWatch(TimerService timers, Call call, Duration limit) {
+  ProgressMonitor(TimerService timers, Call call, Duration limit) {
     this.timers = timers;
     this.call = call;
-    progress(limit);
-    check();
+    recordProgress(limit);
+    cancelIfExpired();
   }
 
   /** Reports progress; the next must come within the limit. */
-  void progress(Duration limit) {
+  void recordProgress(Duration limit) {
     deadlineNanos = timers.nanos() + limit.toNanos();
   }
 
@@ -39,7 +39,7 @@
     timer.cancel();
   }
 
-  private void check() {
+  private void cancelIfExpired() {
     if (closed) {
       return;
     }
@@ -48,7 +48,7 @@
       expired = true;
       call.cancel();
     } else {
-      timer = timers.schedule(Duration.ofNanos(leftNanos), this::check);
+      timer = timers.schedule(Duration.ofNanos(leftNanos), this::cancelIfExpired);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/SentListener.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/RequestSentListener.java
@@ -4,15 +4,15 @@
 import okhttp3.EventListener;
 
 /** Tells whether any byte of a request may have left this process. */
-final class SentListener extends EventListener {
-  private volatile boolean sent;
+final class RequestSentListener extends EventListener {
+  private volatile boolean mayHaveBeenSent;
 
   @Override
   public void requestHeadersStart(Call call) {
-    sent = true;
+    mayHaveBeenSent = true;
   }
 
-  boolean sent() {
-    return sent;
+  boolean mayHaveBeenSent() {
+    return mayHaveBeenSent;
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
@@ -14,16 +14,16 @@
  * alone are given up.
  */
 final class UpstreamHost {
-  private static final int IDLE_CONNECTIONS = 64;
-  private static final long IDLE_SECONDS = 60;
+  private static final int MAX_IDLE_CONNECTIONS = 64;
+  private static final long IDLE_TIMEOUT_SECONDS = 60;
 
   private final UpstreamId id;
   private final URI address;
-  private final HttpUrl base;
+  private final HttpUrl baseUrl;
   private final OkHttpClient client;
-  private final AtomicBoolean stalledBefore = new AtomicBoolean();
+  private final AtomicBoolean stalledSinceLastSuccess = new AtomicBoolean();
   private final ConnectionPool pool =
-      new ConnectionPool(IDLE_CONNECTIONS, IDLE_SECONDS, TimeUnit.SECONDS);
+      new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
   UpstreamHost(Upstream upstream, OkHttpClient common) {
     this.id = upstream.id();
@@ -32,7 +32,7 @@
     if (url == null) {
       throw new IllegalArgumentException("\"" + upstream.url() + "\" is not an http URL");
     }
-    this.base = url;
+    this.baseUrl = url;
     this.client = common.newBuilder().connectionPool(pool).build();
   }
 
@@ -40,7 +40,7 @@
     return id;
   }
 
-  boolean isAt(URI url) {
+  boolean hasAddress(URI url) {
     return address.equals(url);
   }
 
@@ -49,11 +49,11 @@
   }
 
   HttpUrl url(String path) {
-    return base.newBuilder().addEncodedPathSegments(path.substring(1)).build();
+    return baseUrl.newBuilder().addEncodedPathSegments(path.substring(1)).build();
   }
 
-  HttpUrl base() {
-    return base;
+  HttpUrl baseUrl() {
+    return baseUrl;
   }
 
   /** Gives up the idle connections; calls in progress keep theirs. */
@@ -62,12 +62,12 @@
   }
 
   /** Records that a call ended well. */
-  void noteProgress() {
-    stalledBefore.set(false);
+  void recordSuccess() {
+    stalledSinceLastSuccess.set(false);
   }
 
   /** Records a stall; returns whether there was another since the last call that ended well. */
-  boolean noteStall() {
-    return stalledBefore.getAndSet(true);
+  boolean recordStall() {
+    return stalledSinceLastSuccess.getAndSet(true);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
@@ -18,7 +18,7 @@
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
   private final Map<UpstreamId, UpstreamHost> hosts = new ConcurrentHashMap<>();
-  private final OkHttpClient common =
+  private final OkHttpClient sharedClient =
       new OkHttpClient.Builder()
           .dispatcher(new Dispatcher())
           .connectTimeout(CONNECT_TIMEOUT)
@@ -30,17 +30,17 @@
 
   /** Adds and replaces the upstreams of a manifest. */
   public void apply(Manifest manifest) {
-    manifest.upstreams().forEach(this::put);
+    manifest.upstreams().forEach(this::addOrReplace);
   }
 
   Optional<UpstreamHost> find(UpstreamId id) {
     return Optional.ofNullable(hosts.get(id));
   }
 
-  private void put(Upstream upstream) {
+  private void addOrReplace(Upstream upstream) {
     hosts.compute(
         upstream.id(),
         (id, old) ->
-            old != null && old.isAt(upstream.url()) ? old : new UpstreamHost(upstream, common));
+            old != null && old.hasAddress(upstream.url()) ? old : new UpstreamHost(upstream, sharedClient));
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -27,18 +27,18 @@
  * engine that comes under this node is read at once.
  */
 public final class UpstreamPoller {
-  private static final Duration TICK = Duration.ofMillis(100);
+  private static final Duration TICK_PERIOD = Duration.ofMillis(100);
   private static final Duration LOAD_PERIOD = Duration.ofMillis(500);
-  private static final Duration HELD_PERIOD = Duration.ofSeconds(2);
+  private static final Duration ATTEMPT_LIST_PERIOD = Duration.ofSeconds(2);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final UpstreamHosts hosts;
-  private final Supplier<List<UpstreamId>> engines;
+  private final Supplier<List<UpstreamId>> polledEngines;
   private final TimerService timers;
   private final Executor executor;
   private final Consumer<RoutingEvent> events;
-  private final Map<UpstreamId, Long> loadDueNanos = new HashMap<>();
-  private final Map<UpstreamId, Long> heldDueNanos = new HashMap<>();
+  private final Map<UpstreamId, Long> nextLoadReadNanos = new HashMap<>();
+  private final Map<UpstreamId, Long> nextAttemptListNanos = new HashMap<>();
   private TimerSubscription subscription = () -> {};
 
   /**
@@ -54,7 +54,7 @@
       Executor executor,
       Consumer<RoutingEvent> events) {
     this.hosts = hosts;
-    this.engines = engines;
+    this.polledEngines = engines;
     this.timers = timers;
     this.executor = executor;
     this.events = events;
@@ -62,7 +62,7 @@
 
   /** Starts reading. */
   public void start() {
-    subscription = timers.every(TICK, this::tick);
+    subscription = timers.every(TICK_PERIOD, this::tick);
   }
 
   /** Stops reading. */
@@ -71,25 +71,25 @@
   }
 
   private void tick() {
-    List<UpstreamId> now = engines.get();
-    loadDueNanos.keySet().retainAll(now);
-    heldDueNanos.keySet().retainAll(now);
+    List<UpstreamId> now = polledEngines.get();
+    nextLoadReadNanos.keySet().retainAll(now);
+    nextAttemptListNanos.keySet().retainAll(now);
     for (UpstreamId id : now) {
       hosts
           .find(id)
           .ifPresent(
               host -> {
-                if (takeDue(loadDueNanos, id, LOAD_PERIOD)) {
+                if (advanceIfDue(nextLoadReadNanos, id, LOAD_PERIOD)) {
                   executor.execute(() -> readLoad(host));
                 }
-                if (takeDue(heldDueNanos, id, HELD_PERIOD)) {
-                  executor.execute(() -> readHeld(host));
+                if (advanceIfDue(nextAttemptListNanos, id, ATTEMPT_LIST_PERIOD)) {
+                  executor.execute(() -> readAttemptList(host));
                 }
               });
     }
   }
 
-  private boolean takeDue(Map<UpstreamId, Long> dueNanos, UpstreamId id, Duration period) {
+  private boolean advanceIfDue(Map<UpstreamId, Long> dueNanos, UpstreamId id, Duration period) {
     long now = timers.nanos();
     Long due = dueNanos.get(id);
     if (due != null && now - due < 0) {
@@ -100,7 +100,7 @@
   }
 
   private void readLoad(UpstreamHost host) {
-    JsonNode report = get(host, host.url("/metrics.json"));
+    JsonNode report = getJson(host, host.url("/metrics.json"));
     if (report.isObject()) {
       events.accept(
           new RoutingEvent.LoadReported(
@@ -113,16 +113,16 @@
     }
   }
 
-  private void readHeld(UpstreamHost host) {
-    JsonNode list = get(host, host.url("/v1/requests"));
+  private void readAttemptList(UpstreamHost host) {
+    JsonNode list = getJson(host, host.url("/v1/requests"));
     if (list.isObject()) {
       List<ReportedAttempt> held = new ArrayList<>();
-      list.path("attempts").forEach(item -> addHeld(held, item));
+      list.path("attempts").forEach(item -> addReportedAttempt(held, item));
       events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), held));
     }
   }
 
-  private static void addHeld(List<ReportedAttempt> held, JsonNode item) {
+  private static void addReportedAttempt(List<ReportedAttempt> held, JsonNode item) {
     try {
       held.add(
           new ReportedAttempt(
@@ -135,15 +135,15 @@
   }
 
   /** Returns the answer, or an empty value when there is none; the next period tries again. */
-  private static JsonNode get(UpstreamHost host, HttpUrl url) {
+  private static JsonNode getJson(UpstreamHost host, HttpUrl url) {
     OkHttpClient client = host.client().newBuilder().callTimeout(CALL_TIMEOUT).build();
     try (Response response = client.newCall(new Request.Builder().url(url).build()).execute()) {
       return response.isSuccessful()
-          ? EngineJson.read(response.body().string())
-          : EngineJson.missing();
+          ? EngineJson.parse(response.body().string())
+          : EngineJson.missingNode();
     } catch (IOException e) {
       host.evictConnections();
-      return EngineJson.missing();
+      return EngineJson.missingNode();
     }
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
@@ -36,9 +36,9 @@
 /** Guards against second runs and false refusals with a real client and object service stand-in. */
 class LedgerServiceTest {
   private static final WorkspaceId WORKSPACE = new WorkspaceId("tinta");
-  private static final Duration LONG = Duration.ofSeconds(30);
-  private static final InstantSource WALL = () -> Instant.ofEpochSecond(1_800_000_000L);
-  private static final Membership BOTH =
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
+  private static final InstantSource WALL_CLOCK = () -> Instant.ofEpochSecond(1_800_000_000L);
+  private static final Membership BOTH_NODES =
       new Membership() {
         @Override
         public List<Member> live() {
@@ -67,51 +67,51 @@
   }
 
   @Test
-  void repeatAtAnotherNodeGetsTheRecordedAnswerAndDoesNotRun() throws Exception {
+  void repeatAtAnotherNodeGetsTheRecordedResponseAndDoesNotRun() throws Exception {
     assertThat(run(a, "k", "d", new DispatchOutcome.Completed(201, "done")))
         .isEqualTo(new KeyedResponse.Ran());
-    KeyedCall repeat = begin(b, "k", "d");
-    assertThat(get(repeat.mayDispatch())).isFalse();
-    assertThat(get(repeat.reply())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
+    KeyedRequestHandle repeat = begin(b, "k", "d");
+    assertThat(await(repeat.dispatchPermitted())).isFalse();
+    assertThat(await(repeat.response())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
   }
 
   @Test
-  void repeatWhileTheFirstIsRunningIsInProgressAndOtherContentIsReuse() throws Exception {
-    KeyedCall first = begin(a, "k", "d");
-    assertThat(get(first.mayDispatch())).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isInstanceOf(KeyedResponse.InProgress.class);
-    assertThat(get(begin(b, "k", "other").reply())).isEqualTo(new KeyedResponse.KeyReused());
+  void repeatDuringTheFirstRunIsInProgressAndOtherContentIsKeyReuse() throws Exception {
+    KeyedRequestHandle first = begin(a, "k", "d");
+    assertThat(await(first.dispatchPermitted())).isTrue();
+    assertThat(await(begin(b, "k", "d").response())).isInstanceOf(KeyedResponse.InProgress.class);
+    assertThat(await(begin(b, "k", "other").response())).isEqualTo(new KeyedResponse.KeyReused());
   }
 
   @Test
-  void lostAnswersOfStartAndFinishStillGiveOneRunWithItsAnswer() throws Exception {
+  void lostStoreResponsesOfStartAndFinishStillGiveOneRecordedRun() throws Exception {
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    KeyedCall call = begin(a, "k", "d");
-    assertThat(get(call.mayDispatch())).isTrue();
+    KeyedRequestHandle call = begin(a, "k", "d");
+    assertThat(await(call.dispatchPermitted())).isTrue();
     assertThat(call.claimDispatch()).isTrue();
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(get(call.finish(new DispatchOutcome.Completed(200, "x"))))
+    assertThat(await(call.finish(new DispatchOutcome.Completed(200, "x"))))
         .isEqualTo(new KeyedResponse.Ran());
-    assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.Recorded(200, "x"));
+    assertThat(await(a.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(b, "k", "d").response())).isEqualTo(new KeyedResponse.Recorded(200, "x"));
   }
 
   @Test
-  void outageRefusesAsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
+  void storeOutageIsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
     standin.setFaults(ObjectServiceFaults.DOWN);
-    assertThat(get(begin(a, "k", "d").reply())).isInstanceOf(KeyedResponse.NotRun.class);
+    assertThat(await(begin(a, "k", "d").response())).isInstanceOf(KeyedResponse.NotRun.class);
     standin.setFaults(ObjectServiceFaults.NONE);
     assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
-  void callerThatLeavesBeforeTheClaimFreesTheKey() throws Exception {
-    KeyedCall first = begin(a, "k", "d");
-    assertThat(get(first.mayDispatch())).isTrue();
-    first.callerGone();
+  void callerThatDisconnectsBeforeTheClaimFreesTheKey() throws Exception {
+    KeyedRequestHandle first = begin(a, "k", "d");
+    assertThat(await(first.dispatchPermitted())).isTrue();
+    first.callerDisconnected();
     assertThat(first.claimDispatch()).isFalse();
-    assertThat(get(first.reply())).isInstanceOf(KeyedResponse.NotRun.class);
+    assertThat(await(first.response())).isInstanceOf(KeyedResponse.NotRun.class);
     assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
@@ -128,29 +128,29 @@
   void unknownOutcomeStaysUnknownForRepeats() throws Exception {
     assertThat(run(a, "k", "d", new DispatchOutcome.Unknown()))
         .isEqualTo(new KeyedResponse.OutcomeUnknown());
-    assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.OutcomeUnknown());
+    assertThat(await(a.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(b, "k", "d").response())).isEqualTo(new KeyedResponse.OutcomeUnknown());
   }
 
   @Test
   void oldUuidOfVersionSevenIsRefusedAsExpired() throws Exception {
-    assertThat(get(begin(a, "01890a5d-ac96-774b-bcce-b302099a8057", "d").reply()))
+    assertThat(await(begin(a, "01890a5d-ac96-774b-bcce-b302099a8057", "d").response()))
         .isEqualTo(new KeyedResponse.KeyExpired());
   }
 
   @Test
-  void startsThatArriveDuringACallShareTheNextWrite() throws Exception {
+  void startsThatArriveDuringAStoreCallShareTheNextWrite() throws Exception {
     startFortyOnOneShard(a, a);
     assertThat(standin.calls("put")).isEqualTo(1);
   }
 
   @Test
-  void startsOfTwoNodesShareTheWriteOfTheOwner() throws Exception {
-    KeyedRequestTimeouts patient = new KeyedRequestTimeouts(LONG, LONG, LONG);
+  void startsOfTwoNodesShareOneWriteByTheShardOwner() throws Exception {
+    KeyedRequestTimeouts patient = new KeyedRequestTimeouts(LONG_TIMEOUT, LONG_TIMEOUT, LONG_TIMEOUT);
     Map<HostId, LedgerService> nodes = new ConcurrentHashMap<>();
     List<LedgerService> both = new ArrayList<>();
     for (String name : List.of("a", "b")) {
-      LedgerPeers peers =
+      LedgerPeerSender peers =
           (to, message) -> {
             LedgerService target = nodes.get(to);
             if (target != null) {
@@ -165,9 +165,9 @@
   }
 
   @Test
-  void nodeWritesDirectlyWhenTheOwnerDoesNotAnswer() throws Exception {
-    KeyedRequestTimeouts hasty = new KeyedRequestTimeouts(Duration.ofMillis(50), LONG, LONG);
-    LedgerPeers silent = (to, message) -> {};
+  void nodeWritesDirectlyWhenTheShardOwnerDoesNotRespond() throws Exception {
+    KeyedRequestTimeouts hasty = new KeyedRequestTimeouts(Duration.ofMillis(50), LONG_TIMEOUT, LONG_TIMEOUT);
+    LedgerPeerSender silent = (to, message) -> {};
     startFortyOnOneShard(
         node("a", Optional.of(silent), hasty), node("b", Optional.of(silent), hasty));
   }
@@ -175,7 +175,7 @@
   /** Holds the object service until both nodes have taken all starts. */
   private void startFortyOnOneShard(LedgerService first, LedgerService second) throws Exception {
     standin.setFaults(ObjectServiceFaults.slow(60_000));
-    List<KeyedCall> calls = new ArrayList<>();
+    List<KeyedRequestHandle> calls = new ArrayList<>();
     for (int i = 0; calls.size() < 40; i++) {
       String key = "k" + i;
       if (LedgerKey.of(WORKSPACE, key).shard() == 7) {
@@ -183,25 +183,25 @@
       }
     }
     for (LedgerService node : List.of(first, second, first, second)) {
-      assertThat(get(node.drain(Duration.ZERO))).isFalse(); // runs after what was queued before
+      assertThat(await(node.drain(Duration.ZERO))).isFalse(); // runs after what was queued before
     }
     standin.setFaults(ObjectServiceFaults.NONE);
-    for (KeyedCall call : calls) {
-      assertThat(get(call.mayDispatch())).isTrue();
+    for (KeyedRequestHandle call : calls) {
+      assertThat(await(call.dispatchPermitted())).isTrue();
     }
   }
 
   private static KeyedResponse run(
       LedgerService node, String key, String digest, DispatchOutcome outcome) throws Exception {
-    KeyedCall call = begin(node, key, digest);
-    assertThat(get(call.mayDispatch())).isTrue();
+    KeyedRequestHandle call = begin(node, key, digest);
+    assertThat(await(call.dispatchPermitted())).isTrue();
     assertThat(call.claimDispatch()).isTrue();
     assertThat(call.claimDispatch()).isFalse();
-    return get(call.finish(outcome));
+    return await(call.finish(outcome));
   }
 
-  private static KeyedCall begin(LedgerService node, String key, String digest) {
-    return node.begin(WORKSPACE, key, digest, System.nanoTime() + LONG.toNanos());
+  private static KeyedRequestHandle begin(LedgerService node, String key, String digest) {
+    return node.begin(WORKSPACE, key, digest, System.nanoTime() + LONG_TIMEOUT.toNanos());
   }
 
   private static Member member(String name) {
@@ -213,12 +213,12 @@
   }
 
   private LedgerService node(
-      String name, Optional<LedgerPeers> peers, KeyedRequestTimeouts policy) {
+      String name, Optional<LedgerPeerSender> peers, KeyedRequestTimeouts policy) {
     ObjectStoreClient client =
         new ObjectStoreClient(
             URI.create(standin.url()),
             new ObjectStoreTimeouts(
-                Duration.ofSeconds(5), Duration.ofSeconds(10), LONG, Duration.ofMillis(20)),
+                Duration.ofSeconds(5), Duration.ofSeconds(10), LONG_TIMEOUT, Duration.ofMillis(20)),
             timers);
     clients.add(client);
     LedgerService service =
@@ -228,17 +228,17 @@
                 Optional.of(new RegionId("r")),
                 () -> LedgerLimits.of(Duration.ofHours(24), 300),
                 policy),
-            BOTH,
+            BOTH_NODES,
             client,
             peers,
-            WALL,
+            WALL_CLOCK,
             new SecureRandom());
     services.add(service);
     service.start();
     return service;
   }
 
-  private static <T> T get(CompletableFuture<T> future) throws Exception {
+  private static <T> T await(CompletableFuture<T> future) throws Exception {
     return future.get(40, TimeUnit.SECONDS);
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/routing/ResponseSinkTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/routing/ResponseSinkTest.java
@@ -18,36 +18,36 @@
   private final AttemptId attempt = new AttemptId(new RequestId("r-1"), 1);
 
   @Test
-  void onlyTheLaneOpenedLastAddsToTheAnswer() throws InterruptedException {
-    ResponseSink.Lane first = sink.open(attempt);
-    assertThat(sink.accept(first, chunk("a"))).isTrue();
-    ResponseSink.Lane second = sink.open(attempt);
-    assertThat(sink.accept(first, chunk("late"))).isFalse();
-    assertThat(sink.accept(second, chunk("b"))).isTrue();
-    assertThat(sink.soFar().text()).isEqualTo("ab");
-    assertThat(sink.soFar().tokens()).isEqualTo(2);
+  void onlyTheProducerOpenedLastAppendsToTheResponse() throws InterruptedException {
+    ResponseSink.Producer first = sink.openProducer(attempt);
+    assertThat(sink.append(first, chunk("a"))).isTrue();
+    ResponseSink.Producer second = sink.openProducer(attempt);
+    assertThat(sink.append(first, chunk("late"))).isFalse();
+    assertThat(sink.append(second, chunk("b"))).isTrue();
+    assertThat(sink.partialOutput().text()).isEqualTo("ab");
+    assertThat(sink.partialOutput().tokens()).isEqualTo(2);
     assertThat(dropped.sum()).isEqualTo(1);
-    assertThat(sink.next(Duration.ZERO)).isInstanceOf(SinkEvent.Piece.class);
+    assertThat(sink.poll(Duration.ZERO)).isInstanceOf(SinkEvent.ChunkAppended.class);
   }
 
   @Test
-  void aLaneOfAnotherRequestIsRefused() {
+  void producerOfAnotherRequestIsRejected() {
     ResponseSink other = new ResponseSink(dropped);
-    ResponseSink.Lane crossed = other.open(new AttemptId(new RequestId("r-2"), 1));
-    sink.open(attempt);
-    assertThat(sink.accept(crossed, chunk("crossed"))).isFalse();
-    assertThat(sink.soFar().text()).isEmpty();
+    ResponseSink.Producer crossed = other.openProducer(new AttemptId(new RequestId("r-2"), 1));
+    sink.openProducer(attempt);
+    assertThat(sink.append(crossed, chunk("crossed"))).isFalse();
+    assertThat(sink.partialOutput().text()).isEmpty();
     assertThat(dropped.sum()).isEqualTo(1);
   }
 
   @Test
-  void nothingFollowsTheFirstEnd() throws InterruptedException {
-    ResponseSink.Lane lane = sink.open(attempt);
+  void closedSinkAcceptsNoFurtherEvents() throws InterruptedException {
+    ResponseSink.Producer lane = sink.openProducer(attempt);
     sink.complete();
     sink.fail(ErrorCode.INTERNAL, "second end", Duration.ZERO);
-    assertThat(sink.accept(lane, chunk("after the end"))).isFalse();
-    assertThat(sink.next(Duration.ZERO)).isInstanceOf(SinkEvent.End.class);
-    assertThat(sink.next(Duration.ZERO)).isNull();
+    assertThat(sink.append(lane, chunk("after the end"))).isFalse();
+    assertThat(sink.poll(Duration.ZERO)).isInstanceOf(SinkEvent.Completed.class);
+    assertThat(sink.poll(Duration.ZERO)).isNull();
   }
 
   private static Chunk chunk(String text) {
