--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -53,7 +53,8 @@
     }
   }
 
-  private void run(Context ctx, GenerationExchange exchange) throws IOException, InterruptedException {
+  private void run(Context ctx, GenerationExchange exchange)
+      throws IOException, InterruptedException {
     AnswerWriter writer = new AnswerWriter(ctx, exchange);
     routing.submit(exchange);
     try {
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedRequestHandle.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedRequestHandle.java
@@ -8,11 +8,12 @@
 import org.mustardlatch.core.ledger.KeyedResponse;
 
 /**
- * One keyed request from begin to finish. Safe for use by several threads; no method blocks.
+ * The handle of one keyed request, from {@link LedgerService#begin} to its recorded outcome. Safe
+ * for use by several threads; no method blocks.
  *
- * <p>Use: when {@link #dispatchPermitted} completes with true and {@link #claimDispatch} returns true,
- * send the request to the application exactly once and report its end with {@link #finish}. In
- * every case answer the caller with what {@link #response} completes with.
+ * <p>Usage: when {@link #dispatchPermitted} completes with true and {@link #claimDispatch} returns
+ * true, send the request to the application exactly once and report its outcome with {@link
+ * #finish}. In every case {@link #response} completes with the response for the caller.
  */
 public final class KeyedRequestHandle {
   private final CompletableFuture<Boolean> dispatchPermitted = new CompletableFuture<>();
@@ -33,21 +34,22 @@
   }
 
   /**
-   * Completes with true when the start record exists and the request is to be dispatched, and with
+   * Completes with true when the start record is stored and the request may be dispatched, and with
    * false when it must not be dispatched. Never completes exceptionally.
    */
   public CompletableFuture<Boolean> dispatchPermitted() {
     return dispatchPermitted;
   }
 
-  /** Completes once with the answer for the caller. Never completes exceptionally. */
+  /** Completes once, with the response for the caller. Never completes exceptionally. */
   public CompletableFuture<KeyedResponse> response() {
     return response;
   }
 
   /**
-   * Returns true to exactly one call, unless the caller was reported gone before or the deadline
-   * has passed; then the request is cancelled. Ask right before sending.
+   * Claims the dispatch. Returns true to exactly one invocation, unless the caller was reported as
+   * disconnected before or the deadline has passed; in both cases the request is cancelled. To be
+   * called immediately before the request is sent.
    */
   public boolean claimDispatch() {
     if (System.nanoTime() - deadlineNanos >= 0) {
@@ -57,8 +59,8 @@
   }
 
   /**
-   * Reports that the caller closed its connection. A request that was not claimed yet is cancelled;
-   * a claimed one goes on and is recorded.
+   * Reports that the caller closed its connection. A request whose dispatch was not claimed yet is
+   * cancelled; a claimed one continues, and its outcome is recorded.
    */
   public void callerDisconnected() {
     if (state.compareAndSet(State.OPEN, State.CALLER_DISCONNECTED)) {
@@ -67,15 +69,15 @@
   }
 
   /**
-   * Reports the end of the dispatch; to be called exactly once after a successful {@link
+   * Reports the outcome of the dispatch; to be called exactly once after a successful {@link
    * #claimDispatch}.
    *
-   * @return the answer for the caller, the same as {@link #response}
+   * @return the response for the caller, the same as {@link #response}
    * @throws IllegalStateException when the dispatch was not claimed
    */
   public CompletableFuture<KeyedResponse> finish(DispatchOutcome outcome) {
     if (state.get() != State.CLAIMED) {
-      throw new IllegalStateException("finish without a claimed dispatch");
+      throw new IllegalStateException("finish() called without a claimed dispatch");
     }
     events.accept(this, new KeyedRequestEvent.DispatchEnded(outcome));
     return response;
@@ -85,6 +87,7 @@
     return state.get() == State.CALLER_DISCONNECTED;
   }
 
+  /** Completes the response and denies a dispatch that was not permitted before. */
   void completeResponse(KeyedResponse value) {
     dispatchPermitted.complete(false);
     response.complete(value);
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -32,8 +32,8 @@
 import org.mustardlatch.daemon.store.ObjectStoreClient;
 
 /**
- * At-most-once execution of keyed requests on this node. Calls return at once; all work is done on
- * one thread of this service.
+ * Executes keyed requests of this node at most once each. Public methods may be called on any
+ * thread and do not block; all work is done on one thread of this service.
  */
 public final class LedgerService {
   private static final Duration IDLE_SHARD_REMOVAL_PERIOD = Duration.ofMinutes(1);
@@ -57,9 +57,11 @@
    *
    * @param membership the live nodes and the incarnation of this one
    * @param store client of the object service
-   * @param peers sends to the owners of shards; empty to write every shard from this node
-   * @param wallClock for the times in records only
-   * @param random names attempts; must not repeat between processes, so use a secure one
+   * @param peers sends messages to the nodes that own shards; empty to write every shard from this
+   *     node
+   * @param wallClock used only for the times in records
+   * @param random generates the nonces of attempts; must be secure, because nonces must not repeat
+   *     between processes
    */
   public LedgerService(
       LedgerSettings settings,
@@ -77,10 +79,14 @@
     storeClient = new ShardStoreClient(store, loop);
     node =
         new LedgerNode(
-            settings.self(), noncePrefix, settings.limits(), settings.timeouts(), new OutputHandler());
+            settings.self(),
+            noncePrefix,
+            settings.limits(),
+            settings.timeouts(),
+            new OutputHandler());
   }
 
-  /** Starts the periodic removal of shards that are not used. */
+  /** Starts the periodic removal of idle shards. */
   public void start() {
     loop.every(IDLE_SHARD_REMOVAL_PERIOD, node::dropIdleShards);
   }
@@ -92,8 +98,8 @@
    * @param key value of {@code Idempotency-Key}, not empty
    * @param requestDigest digest of method, path and body, 1 to 64 printable ASCII characters
    *     without quote and backslash; a hexadecimal SHA-256 fits
-   * @param deadlineNanos final deadline, in the time of {@link System#nanoTime}
-   * @throws IllegalArgumentException when key or digest is malformed
+   * @param deadlineNanos final deadline of the request, on the clock of {@link System#nanoTime}
+   * @throws IllegalArgumentException when the key or the digest is malformed
    */
   public KeyedRequestHandle begin(
       WorkspaceId workspace, String key, String requestDigest, long deadlineNanos) {
@@ -105,20 +111,21 @@
             settings.self().value(),
             membership.incarnation());
     String nonce = attempt.nonce();
-    KeyedRequestHandle call =
-        new KeyedRequestHandle(deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
+    KeyedRequestHandle request =
+        new KeyedRequestHandle(
+            deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
     if (KeyAge.isExpired(key, settings.limits().get().retention(), now().wallClockSeconds())) {
-      call.completeResponse(new KeyedResponse.KeyExpired());
-      return call;
+      request.completeResponse(new KeyedResponse.KeyExpired());
+      return request;
     }
     loop.execute(
         () -> {
-          openRequests.put(nonce, call);
+          openRequests.put(nonce, request);
           node.setMembers(
               peers.isPresent() ? membership.live() : List.of(), settings.storeRegion());
           node.begin(attempt, deadlineNanos, now());
         });
-    return call;
+    return request;
   }
 
   /**
@@ -130,34 +137,44 @@
     loop.execute(() -> node.receive(from, incarnation, message, now()));
   }
 
-  /** Completes with true once all records are stored, or with false when the limit is over. */
-  public CompletableFuture<Boolean> drain(Duration limit) {
+  /**
+   * Returns a future that completes with true once the records of all requests are stored, or with
+   * false when the timeout expires first.
+   */
+  public CompletableFuture<Boolean> drain(Duration timeout) {
     CompletableFuture<Boolean> drained = new CompletableFuture<>();
-    long endNanos = loop.nanos() + limit.toNanos();
-    loop.execute(() -> checkDrained(drained, endNanos));
+    long drainDeadlineNanos = loop.nanos() + timeout.toNanos();
+    loop.execute(() -> checkDrained(drained, drainDeadlineNanos));
     return drained;
   }
 
-  /** Ends the service's thread. Requests that are not over stay undecided; drain first. */
+  /**
+   * Stops the thread of the service. Requests in progress get no response, so {@link #drain} is to
+   * be called before.
+   */
   public void stop() {
     loop.stop();
   }
 
-  private void checkDrained(CompletableFuture<Boolean> drained, long endNanos) {
-    if (node.isIdle() || loop.nanos() - endNanos >= 0) {
+  private void checkDrained(CompletableFuture<Boolean> drained, long drainDeadlineNanos) {
+    if (node.isIdle() || loop.nanos() - drainDeadlineNanos >= 0) {
       drained.complete(node.isIdle());
     } else {
-      loop.schedule(DRAIN_CHECK_PERIOD, () -> checkDrained(drained, endNanos));
+      loop.schedule(DRAIN_CHECK_PERIOD, () -> checkDrained(drained, drainDeadlineNanos));
     }
   }
 
-  private void handle(String nonce, KeyedRequestHandle call, KeyedRequestEvent event) {
-    // A caller that left between the permission to dispatch and its claim was not dispatched.
-    boolean unclaimed =
-        event instanceof KeyedRequestEvent.CallerDisconnected && call.dispatchPermitted().getNow(false);
+  private void handle(String nonce, KeyedRequestHandle request, KeyedRequestEvent event) {
+    // The caller disconnected after the dispatch was permitted but before it was claimed, so the
+    // request was not sent.
+    boolean dispatchUnclaimed =
+        event instanceof KeyedRequestEvent.CallerDisconnected
+            && request.dispatchPermitted().getNow(false);
     node.handle(
         nonce,
-        unclaimed ? new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent()) : event,
+        dispatchUnclaimed
+            ? new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent())
+            : event,
         now());
   }
 
@@ -171,7 +188,9 @@
     return HexFormat.of().formatHex(bytes);
   }
 
-  /** Carries out what the node asks for; every answer comes as a later task of the loop. */
+  /**
+   * Executes the outputs of the ledger node; every result is handled as a later task of the loop.
+   */
   private final class OutputHandler implements LedgerOutput {
     @Override
     public void read(int shard) {
@@ -189,14 +208,14 @@
 
     @Override
     public void setShardTimer(int shard, long atNanos) {
-      @Nullable TimerSubscription old =
+      @Nullable TimerSubscription previous =
           shardTimers.put(
               shard,
               loop.schedule(
                   Duration.ofNanos(atNanos - loop.nanos()),
                   () -> node.handle(shard, new ShardEvent.TimerFired(), now())));
-      if (old != null) {
-        old.cancel();
+      if (previous != null) {
+        previous.cancel();
       }
     }
 
@@ -209,21 +228,21 @@
 
     @Override
     public void dispatch(String nonce) {
-      KeyedRequestHandle call = openRequests.get(nonce);
-      if (call == null || call.isCallerDisconnected()) {
+      KeyedRequestHandle request = openRequests.get(nonce);
+      if (request == null || request.isCallerDisconnected()) {
         KeyedRequestEvent notSent =
             new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent());
         loop.execute(() -> node.handle(nonce, notSent, now()));
       } else {
-        call.permitDispatch();
+        request.permitDispatch();
       }
     }
 
     @Override
-    public void respond(String nonce, KeyedResponse reply) {
-      KeyedRequestHandle call = openRequests.remove(nonce);
-      if (call != null) {
-        call.completeResponse(reply);
+    public void respond(String nonce, KeyedResponse response) {
+      KeyedRequestHandle request = openRequests.remove(nonce);
+      if (request != null) {
+        request.completeResponse(response);
       }
     }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerSettings.java
@@ -8,13 +8,13 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * What a {@link LedgerService} is told about its node.
+ * Settings of a {@link LedgerService} that depend on its node.
  *
  * @param self this node
- * @param storeRegion region of the object service, whose nodes own the shards; empty when not known
- * @param limits limits from the manifest in force; read whenever a shard is opened and at every key
- *     check, on any thread
- * @param timeouts waiting times
+ * @param storeRegion region of the object service, whose nodes own the shards; empty when unknown
+ * @param limits limits from the active manifest; read on any thread, whenever a shard is opened and
+ *     at every key check
+ * @param timeouts timeouts of keyed requests
  */
 public record LedgerSettings(
     HostId self,
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/ShardStoreClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/ShardStoreClient.java
@@ -15,7 +15,11 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** Reads and writes shard objects and reports the results as events on the loop's thread. */
+/**
+ * Reads and writes the ledger shards in the object service and reports the results as events on the
+ * thread of the event loop. Failures of a shard are logged once until a read of it succeeds, which
+ * is logged too.
+ */
 final class ShardStoreClient {
   private static final String KIND = "ledger";
 
@@ -47,7 +51,7 @@
     return switch (result) {
       case ReadResult.Found f -> {
         if (!ShardWriter.canRead(f.object().spec())) {
-          recordFailure(shard, "content is not of a format that this release can read");
+          recordFailure(shard, "unsupported content format");
           yield new ShardEvent.ReadFailed();
         }
         recordSuccess(shard);
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/package-info.java
@@ -1,4 +1,6 @@
-/** Runs the at-most-once decisions of {@code core.ledger} against the object service and peers. */
+/**
+ * Runs the ledger of {@code core.ledger}, which executes keyed requests at most once, on this node.
+ */
 @NullMarked
 package org.mustardlatch.daemon.ledger;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/Chunk.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/Chunk.java
@@ -5,13 +5,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A piece of an answer as an engine sent it.
+ * A chunk of generated output as an engine sent it.
  *
  * @param choice the engine's choice object
  * @param text the new text; may be empty
- * @param tokenIds ids of the new tokens; empty unless they were asked for
+ * @param tokenIds ids of the new tokens; empty unless the prompt is a list of token ids
  * @param tokens number of new tokens
- * @param finishReason why the answer ends here; null when it goes on
+ * @param finishReason reason why the output ends with this chunk; null when more follows
  */
 public record Chunk(
     ObjectNode choice,
@@ -19,7 +19,7 @@
     List<Integer> tokenIds,
     int tokens,
     @Nullable String finishReason) {
-  /** Copies the list. */
+  /** Copies the list of token ids. */
   public Chunk {
     tokenIds = List.copyOf(tokenIds);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommandExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommandExecutor.java
@@ -6,22 +6,26 @@
 import org.mustardlatch.core.routing.ReportedAttempt;
 
 /**
- * Carries out what the routing policy wants from engines. No method blocks; results come back as
+ * Executes the engine commands of the routing policy. No method blocks; results are posted as
  * routing events.
  */
 public interface EngineCommandExecutor {
-  /** Starts a prefill. */
+  /** Starts the prefill of an attempt on an upstream. */
   void startPrefill(GenerationExchange exchange, AttemptId attempt, UpstreamId upstream);
 
-  /** Starts a decode of a KV cache. */
-  void startDecode(GenerationExchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle);
+  /** Starts the decode of an attempt on an upstream, from the KV cache that the handle names. */
+  void startDecode(
+      GenerationExchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle);
 
-  /** Cancels an attempt of this node until the engine acknowledges it. */
+  /** Cancels an attempt of this node; repeated until the engine acknowledges the cancellation. */
   void cancel(AttemptId attempt, UpstreamId upstream);
 
-  /** Cancels an attempt of a node that is gone until the engine acknowledges it. */
-  void cancelOrphaned(ReportedAttempt held, UpstreamId upstream);
+  /**
+   * Cancels an attempt that a dead or removed node left on an engine; repeated until the engine
+   * acknowledges the cancellation.
+   */
+  void cancelOrphaned(ReportedAttempt orphan, UpstreamId upstream);
 
-  /** Frees a KV cache at its prefill engine. */
+  /** Frees the retained KV cache on its prefill engine. */
   void releaseKv(KvHandle handle);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
@@ -7,9 +7,12 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.model.RequestId;
 
-/** The decisions about recent requests; the oldest requests are forgotten first. */
+/**
+ * The routing decisions about recent requests, kept in memory for the operator. The oldest requests
+ * are evicted first. Safe for use by several threads.
+ */
 public final class ExplainLog {
-  /** At about 600 bytes a request this takes under 2 MB of the node's 32 MB. */
+  /** About 600 bytes each: under 2 MB of the 32 MB that a node may use. */
   private static final int MAX_REQUESTS = 2_000;
 
   private static final int MAX_ENTRIES_PER_REQUEST = 64;
@@ -28,18 +31,18 @@
     }
   }
 
-  /** Returns the decisions about a request, oldest first; empty when it is not known. */
+  /** Returns the decisions about a request, oldest first; empty when none are kept. */
   public synchronized List<Entry> find(RequestId request) {
     @Nullable List<Entry> list = entriesByRequest.getIfPresent(request);
     return list == null ? List.of() : List.copyOf(list);
   }
 
   /**
-   * A decision.
+   * A decision of the routing policy.
    *
-   * @param atNanos monotonic time of this node
-   * @param rule name of the rule that decided
-   * @param detail the figures that it used
+   * @param atNanos monotonic time of this node, nanoseconds
+   * @param rule name of the rule that made the decision
+   * @param detail values that the rule used
    */
   public record Entry(long atNanos, String rule, String detail) {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationExchange.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationExchange.java
@@ -7,7 +7,10 @@
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.core.routing.GenerationRequest;
 
-/** A generation request in progress on its entry node. */
+/**
+ * A generation request in progress on its entry node (the node that holds the caller's connection).
+ * Safe for use by several threads.
+ */
 public final class GenerationExchange {
   private final GenerationRequest request;
   private final GenerationInput input;
@@ -21,32 +24,35 @@
     this.sink = sink;
   }
 
-  /** Returns the request's id. */
+  /** Returns the id of the request. */
   public RequestId id() {
     return request.id();
   }
 
-  /** Returns the request as the routing decisions see it. */
+  /** Returns the request as the routing policy receives it. */
   public GenerationRequest request() {
     return request;
   }
 
-  /** Returns the caller's input. */
+  /** Returns the validated input of the caller. */
   public GenerationInput input() {
     return input;
   }
 
-  /** Returns the way to the caller. */
+  /** Returns the sink that passes output to the caller. */
   public ResponseSink sink() {
     return sink;
   }
 
-  /** Keeps the transfer parameters that a prefill engine returned, for the decode call. */
+  /** Stores the KV transfer parameters that a prefill engine returned, for the decode call. */
   public void storeTransferParameters(String reference, JsonNode parameters) {
     transferParameters.put(reference, parameters);
   }
 
-  /** Returns the transfer parameters of a KV cache, or empty when its prefill did not run here. */
+  /**
+   * Returns the transfer parameters of a KV cache, or empty when no prefill call of this exchange
+   * returned them.
+   */
   public Optional<JsonNode> transferParameters(String reference) {
     return Optional.ofNullable(transferParameters.get(reference));
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationInput.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationInput.java
@@ -4,16 +4,16 @@
 import org.mustardlatch.core.model.ModelId;
 
 /**
- * A caller's generation request after checks.
+ * A caller's validated generation request.
  *
- * @param chat whether it is a chat completion
- * @param model the model that was asked for
+ * @param chat whether the request is a chat completion, as opposed to a text completion
+ * @param model the requested model
  * @param body the caller's body; must not be changed
- * @param stream whether the caller wants server-sent events
- * @param usageInStream whether the stream ends with an event that tells the usage
+ * @param stream whether the response is a stream of server-sent events
+ * @param usageInStream whether the stream ends with an event that reports the token usage
  * @param promptIsTokenIds whether the prompt is a list of token ids
  * @param promptTokens length of the prompt, tokens; estimated as bytes / 4 for text
- * @param maxTokens most tokens of the answer
+ * @param maxTokens maximum number of generated tokens
  */
 public record GenerationInput(
     boolean chat,
@@ -24,7 +24,7 @@
     boolean promptIsTokenIds,
     int promptTokens,
     int maxTokens) {
-  /** Returns the path of the call, the same for callers and engines. */
+  /** Returns the path of the HTTP call, which is the same for callers and engines. */
   public String path() {
     return chat ? "/v1/chat/completions" : "/v1/completions";
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/PartialOutput.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/PartialOutput.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What the caller of a request has received.
+ * The output of a request that was accepted for the caller so far.
  *
- * @param text its text
- * @param tokenIds its token ids; empty unless the prompt is a list of token ids
- * @param tokens its length, tokens
+ * @param text generated text
+ * @param tokenIds ids of the generated tokens; empty unless the prompt is a list of token ids
+ * @param tokens number of generated tokens
  */
 public record PartialOutput(String text, List<Integer> tokenIds, int tokens) {
-  /** Copies the list. */
+  /** Copies the list of token ids. */
   public PartialOutput {
     tokenIds = List.copyOf(tokenIds);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
@@ -12,9 +12,11 @@
 import org.mustardlatch.core.model.AttemptId;
 
 /**
- * The way from engines to the caller of one request. Only the lane that was opened last may add to
- * the answer; what others bring is counted and dropped, so a late or crossed answer can't reach the
- * caller. The queue holds at most the request's whole answer.
+ * Passes the output of one request from engine calls to the thread that writes the caller's
+ * response. Only the producer that was opened last may append; chunks of other producers are
+ * dropped and counted, so output of a superseded attempt or of another request cannot reach the
+ * caller. The queue grows to at most the complete output of the request. Safe for use by several
+ * threads.
  */
 public final class ResponseSink {
   private final BlockingQueue<SinkEvent> events = new LinkedBlockingQueue<>();
@@ -28,22 +30,25 @@
   /**
    * Creates an empty sink.
    *
-   * @param lateAnswers counts the pieces that were dropped
+   * @param lateAnswers counts the chunks that were dropped
    */
   public ResponseSink(LongAdder lateAnswers) {
     this.droppedChunks = lateAnswers;
   }
 
-  /** Makes a new lane the only one that may add to the answer. */
+  /** Opens a producer for an attempt; from then on no other producer may append. */
   public synchronized Producer openProducer(AttemptId attempt) {
-    Producer lane = new Producer(attempt);
-    currentProducer = lane;
-    return lane;
+    Producer producer = new Producer(attempt);
+    currentProducer = producer;
+    return producer;
   }
 
-  /** Adds to the answer; returns false and drops the piece when the lane is not the current one. */
-  public synchronized boolean append(Producer lane, Chunk chunk) {
-    if (closed || lane != currentProducer) {
+  /**
+   * Appends a chunk to the output. Returns false and drops the chunk when the producer is not the
+   * current one or the sink is closed.
+   */
+  public synchronized boolean append(Producer producer, Chunk chunk) {
+    if (closed || producer != currentProducer) {
       droppedChunks.increment();
       return false;
     }
@@ -53,44 +58,44 @@
     return events.add(new SinkEvent.ChunkAppended(chunk));
   }
 
-  /** Returns whether the lane may still add to the answer. */
-  public synchronized boolean isCurrent(Producer lane) {
-    return !closed && lane == currentProducer;
+  /** Returns whether the producer may still append. */
+  public synchronized boolean isCurrent(Producer producer) {
+    return !closed && producer == currentProducer;
   }
 
-  /** Returns what was accepted so far. */
+  /** Returns the output appended so far. */
   public synchronized PartialOutput partialOutput() {
     return new PartialOutput(text.toString(), tokenIds, tokens);
   }
 
-  /** Ends a complete answer. */
+  /** Closes the sink after a complete response; does nothing when it is closed already. */
   public synchronized void complete() {
     close(new SinkEvent.Completed());
   }
 
-  /** Ends the request without a complete answer; does nothing after the first end. */
+  /** Closes the sink with an error; does nothing when it is closed already. */
   public synchronized void fail(ErrorCode code, String detail, Duration retryAfter) {
     close(new SinkEvent.Failed(code, detail, retryAfter));
   }
 
-  /** Closes the sink without an end, because nobody listens any more. */
+  /** Closes the sink without a final event, for a caller that has disconnected. */
   public synchronized void closeSilently() {
     closed = true;
   }
 
-  /** Returns the next event, or null when none came within the given time. */
-  public @Nullable SinkEvent poll(Duration wait) throws InterruptedException {
-    return events.poll(wait.toNanos(), TimeUnit.NANOSECONDS);
+  /** Waits for the next event; returns null when none arrives within the timeout. */
+  public @Nullable SinkEvent poll(Duration timeout) throws InterruptedException {
+    return events.poll(timeout.toNanos(), TimeUnit.NANOSECONDS);
   }
 
-  private void close(SinkEvent end) {
+  private void close(SinkEvent finalEvent) {
     if (!closed) {
       closed = true;
-      events.add(end);
+      events.add(finalEvent);
     }
   }
 
-  /** The right of one engine call to add to the answer. Compared by identity. */
+  /** Identifies one engine call as the source of output. Compared by identity. */
   public static final class Producer {
     private final AttemptId attempt;
 
@@ -98,7 +103,7 @@
       this.attempt = attempt;
     }
 
-    /** Returns the attempt that the lane belongs to. */
+    /** Returns the attempt that this producer belongs to. */
     public AttemptId attempt() {
       return attempt;
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
@@ -12,8 +12,8 @@
 import org.mustardlatch.daemon.node.EventLoop;
 
 /**
- * Runs the routing policy on the event loop, one event at a time, and carries out its commands in
- * order before the next event.
+ * Runs the routing policy on the event loop, one event at a time, and executes its commands in
+ * order before the next event. The public methods may be called on any thread.
  */
 public final class RoutingService {
   private final EventLoop loop;
@@ -23,7 +23,7 @@
   private final ExplainLog explanations = new ExplainLog();
   private final Map<RequestId, GenerationExchange> exchanges = new ConcurrentHashMap<>();
 
-  /** Creates a service; events may be posted at once. */
+  /** Creates a service; events may be posted immediately. */
   public RoutingService(
       EventLoop loop, RoutingPolicy policy, EngineCommandExecutor engines, PeerSender peers) {
     this.loop = loop;
@@ -32,20 +32,20 @@
     this.peers = peers;
   }
 
-  /** Takes a request; its sink gets exactly one end. */
+  /** Submits a request. Its sink receives exactly one final event unless the caller disconnects. */
   public void submit(GenerationExchange exchange) {
     exchanges.put(exchange.id(), exchange);
     post(new RoutingEvent.RequestArrived(exchange.request()));
   }
 
-  /** Reports that the caller of a request is gone; its sink accepts nothing more. */
+  /** Reports that the caller of a request has disconnected; closes the sink of the request. */
   public void callerDisconnected(GenerationExchange exchange) {
     exchange.sink().closeSilently();
     exchanges.remove(exchange.id());
     post(new RoutingEvent.CallerDisconnected(exchange.id()));
   }
 
-  /** Passes an event to the policy; returns at once. */
+  /** Passes an event to the policy, without waiting for it to be handled. */
   public void post(RoutingEvent event) {
     loop.execute(() -> runner.handle(event));
   }
@@ -55,12 +55,12 @@
     return exchanges.size();
   }
 
-  /** Returns the ids of the requests in progress. */
+  /** Returns the ids of the requests in progress, sorted. */
   public List<RequestId> requestIds() {
     return exchanges.keySet().stream().sorted().toList();
   }
 
-  /** Returns the decisions about recent requests. */
+  /** Returns the log of decisions about recent requests. */
   public ExplainLog explanations() {
     return explanations;
   }
@@ -68,7 +68,7 @@
   private void execute(RoutingCommand command) {
     switch (command) {
       case RoutingCommand.ReserveEngine c ->
-          throw new IllegalStateException("these engines are not reservable: " + c);
+          throw new IllegalStateException("engines of this node cannot be reserved: " + c);
       case RoutingCommand.StartPrefill c ->
           find(c.attempt().request())
               .ifPresentOrElse(
@@ -80,16 +80,17 @@
                   e -> engines.startDecode(e, c.attempt(), c.upstream(), c.handle()),
                   () -> post(new RoutingEvent.CallerDisconnected(c.attempt().request())));
       case RoutingCommand.CancelAttempt c -> engines.cancel(c.attempt(), c.upstream());
-      case RoutingCommand.CancelOrphanedAttempt c -> engines.cancelOrphaned(c.attempt(), c.upstream());
+      case RoutingCommand.CancelOrphanedAttempt c ->
+          engines.cancelOrphaned(c.attempt(), c.upstream());
       case RoutingCommand.ReleaseKv c -> engines.releaseKv(c.handle());
       case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
       case RoutingCommand.Refuse c ->
           remove(c.request()).ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
       case RoutingCommand.Complete c -> remove(c.request()).ifPresent(e -> e.sink().complete());
       case RoutingCommand.SetTimer c ->
-          throw new IllegalStateException("the runner keeps timers: " + c);
+          throw new IllegalStateException("timer commands are handled by the policy runner: " + c);
       case RoutingCommand.CancelTimer c ->
-          throw new IllegalStateException("the runner keeps timers: " + c);
+          throw new IllegalStateException("timer commands are handled by the policy runner: " + c);
       case RoutingCommand.Explain c ->
           explanations.add(c.request(), new ExplainLog.Entry(loop.nanos(), c.rule(), c.detail()));
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Runs the routing policy on one thread and carries out its commands. */
+/** Runs the routing policy on one thread, executes its commands and passes output to callers. */
 @NullMarked
 package org.mustardlatch.daemon.routing;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ActiveCalls.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ActiveCalls.java
@@ -5,7 +5,7 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** The engine calls of this node that are in progress. */
+/** The engine calls of this node that are in progress. Safe for use by several threads. */
 final class ActiveCalls {
   private final Set<EngineCall> calls = ConcurrentHashMap.newKeySet();
 
@@ -17,7 +17,7 @@
     calls.remove(call);
   }
 
-  /** Ends the calls of an attempt on an upstream without further events. */
+  /** Cancels the calls of an attempt on an upstream; they post no further events. */
   void cancel(AttemptId attempt, UpstreamId upstream) {
     calls.stream()
         .filter(c -> c.attempt().equals(attempt) && c.host().id().equals(upstream))
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
@@ -21,7 +21,7 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.model.UpstreamId;
 
-/** Calls application services; blocks the calling thread. */
+/** HTTP client for application services. Each call blocks the calling thread until it ends. */
 public final class ApplicationClient {
   private static final int MAX_RESPONSE_BYTES = 16 << 20;
   private static final Set<String> METHODS_WITH_BODY = Set.of("POST", "PUT", "PATCH", "DELETE");
@@ -34,52 +34,55 @@
   }
 
   /**
-   * Sends a call that may be repeated.
+   * Sends a request that the caller may repeat, on a pooled connection.
    *
-   * @param limit time for the whole call
+   * @param timeout timeout for the whole call
    */
-  public ApplicationResult send(UpstreamId upstream, ApplicationRequest request, Duration limit) {
+  public ApplicationResult send(UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("upstream " + upstream + " is not known")
-        : call(host.get(), host.get().client().newBuilder(), request, limit);
+        ? new ApplicationResult.NotSent("unknown upstream " + upstream)
+        : execute(host.get(), host.get().client().newBuilder(), request, timeout);
   }
 
   /**
-   * Sends a call at most once. It gets a connection of its own: a pooled connection that the
-   * service has just closed would leave the outcome unknown although nothing ran.
+   * Sends a request at most once, on a connection of its own: on a pooled connection that the
+   * service has just closed, the outcome would be unknown although the service ran nothing.
    *
-   * @param limit time for the whole call
+   * @param timeout timeout for the whole call
    */
   public ApplicationResult sendOnce(
-      UpstreamId upstream, ApplicationRequest request, Duration limit) {
+      UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("upstream " + upstream + " is not known")
-        : call(
+        ? new ApplicationResult.NotSent("unknown upstream " + upstream)
+        : execute(
             host.get(),
             host.get()
                 .client()
                 .newBuilder()
                 .connectionPool(new ConnectionPool(0, 1, TimeUnit.SECONDS)),
             request,
-            limit);
+            timeout);
   }
 
-  private static ApplicationResult call(
-      UpstreamHost host, OkHttpClient.Builder client, ApplicationRequest request, Duration limit) {
+  private static ApplicationResult execute(
+      UpstreamHost host,
+      OkHttpClient.Builder client,
+      ApplicationRequest request,
+      Duration timeout) {
     RequestSentListener listener = new RequestSentListener();
-    OkHttpClient once = client.eventListener(listener).callTimeout(limit).build();
+    OkHttpClient singleCallClient = client.eventListener(listener).callTimeout(timeout).build();
     HttpUrl url = host.baseUrl().resolve(request.pathAndQuery());
     if (url == null) {
-      return new ApplicationResult.NotSent("path is not valid: " + request.pathAndQuery());
+      return new ApplicationResult.NotSent("invalid path: " + request.pathAndQuery());
     }
     Request.Builder builder = new Request.Builder().url(url);
     request
         .headers()
         .forEach((name, values) -> values.forEach(value -> builder.addHeader(name, value)));
     builder.method(request.method(), body(request));
-    try (Response response = once.newCall(builder.build()).execute()) {
+    try (Response response = singleCallClient.newCall(builder.build()).execute()) {
       return new ApplicationResult.Responded(
           response.code(), headers(response), ByteString.of(readBody(response)));
     } catch (IOException e) {
@@ -94,7 +97,7 @@
     byte[] bytes =
         ByteStreams.limit(response.body().byteStream(), MAX_RESPONSE_BYTES + 1L).readAllBytes();
     if (bytes.length > MAX_RESPONSE_BYTES) {
-      throw new IOException("answer is longer than " + MAX_RESPONSE_BYTES + " bytes");
+      throw new IOException("response body exceeds " + MAX_RESPONSE_BYTES + " bytes");
     }
     return bytes;
   }
@@ -117,7 +120,10 @@
     return METHODS_WITH_BODY.contains(request.method()) ? new OneShotBody(request.body()) : null;
   }
 
-  /** A body that the HTTP client may send once only, whatever the answer's status asks for. */
+  /**
+   * A request body that the HTTP client sends only once, even if the response status allows a
+   * retry.
+   */
   private static final class OneShotBody extends RequestBody {
     private final ByteString bytes;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationResult.java
@@ -4,21 +4,23 @@
 import java.util.Map;
 import okio.ByteString;
 
-/** How a call of an application service ended. */
+/** The outcome of a call to an application service. */
 public sealed interface ApplicationResult {
   /**
-   * The service answered.
+   * The service returned a complete response.
    *
    * @param status HTTP status
-   * @param headers its end-to-end headers
-   * @param body its body
+   * @param headers end-to-end response headers, values by name
+   * @param body response body
    */
   record Responded(int status, Map<String, List<String>> headers, ByteString body)
       implements ApplicationResult {}
 
-  /** Nothing was sent, so nothing ran. */
+  /** No byte of the request was sent, so the service did not run it. */
   record NotSent(String reason) implements ApplicationResult {}
 
-  /** It was sent, but no whole answer came; it may have run. */
+  /**
+   * The request may have been sent, but no complete response arrived; the service may have run it.
+   */
   record Unknown(String reason) implements ApplicationResult {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
@@ -4,13 +4,14 @@
 import org.mustardlatch.core.model.HostId;
 
 /**
- * Names this node at engines, so that what they hold for it can be found and freed.
+ * Identifies this node to engines as the owner of its attempts, so that the KV cache and slots they
+ * hold for a dead node or an earlier incarnation can be found and freed.
  *
  * @param host this node
- * @param incarnation returns its current incarnation
+ * @param incarnation supplies the current incarnation of this node
  */
 public record AttemptOwner(HostId host, LongSupplier incarnation) {
-  /** Returns the value of {@code X-Router-Incarnation}. */
+  /** Returns the value of the header {@code X-Router-Incarnation}. */
   String headerValue() {
     return host + "/" + incarnation.getAsLong();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
@@ -10,15 +10,19 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * Cancels an attempt on an engine until the engine acknowledges it. 200 and 404 both mean that the
- * engine holds nothing of the attempt.
+ * Repeats the cancellation of an attempt on an engine, with exponential backoff, until the engine
+ * acknowledges it. Status 200 and 404 both mean that the engine keeps no state of the attempt. Each
+ * run blocks its thread for one call.
  */
 final class CancelTask implements Runnable {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
   private static final Duration MAX_BACKOFF = Duration.ofSeconds(5);
 
-  /** After this time the engine's list of held attempts is used instead. */
+  /**
+   * Time after which the cancellation is no longer repeated; the periodic list of the engine's
+   * attempts then finds what is left.
+   */
   private static final Duration ACKNOWLEDGEMENT_TIMEOUT = Duration.ofSeconds(60);
 
   private final UpstreamHost host;
@@ -51,6 +55,7 @@
     backoff = doubled.compareTo(MAX_BACKOFF) < 0 ? doubled : MAX_BACKOFF;
   }
 
+  /** Sends one cancellation; returns whether the engine acknowledged it. */
   private boolean sendCancellation() {
     Request request =
         new Request.Builder().url(host.url("/v1/requests/" + attempt)).delete().build();
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
@@ -17,9 +17,12 @@
 import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.ResponseSink.Producer;
 
-/** Has an engine fetch a KV cache and generate; passes the tokens to the request's sink. */
+/**
+ * A decode call: the engine fetches the KV cache and streams the generated tokens, which are
+ * appended to the request's sink.
+ */
 final class DecodeCall extends EngineCall {
-  private static final String LAST_EVENT = "[DONE]";
+  private static final String FINAL_EVENT = "[DONE]";
 
   private final Producer producer;
 
@@ -27,21 +30,21 @@
       EngineContext context,
       UpstreamHost host,
       GenerationExchange exchange,
-      Producer lane,
-      ProgressTimeouts limits,
+      Producer producer,
+      ProgressTimeouts timeouts,
       Call call) {
-    super(context, host, exchange, lane.attempt(), limits, call);
-    this.producer = lane;
+    super(context, host, exchange, producer.attempt(), timeouts, call);
+    this.producer = producer;
   }
 
   @Override
-  void readResponse(Response response, ProgressMonitor watch) throws IOException {
+  void readResponse(Response response, ProgressMonitor monitor) throws IOException {
     post(new RoutingEvent.DecodeStarted(attempt()));
-    watch.recordProgress(timeouts().firstToken());
-    StreamListener reader = new StreamListener(watch);
-    EventSources.processResponse(response, reader);
-    if (!reader.finished && !isCancelled()) {
-      throw new IOException("stream ended before its last event", reader.error);
+    monitor.recordProgress(timeouts().firstToken());
+    StreamListener listener = new StreamListener(monitor);
+    EventSources.processResponse(response, listener);
+    if (!listener.finished && !isCancelled()) {
+      throw new IOException("stream ended before the final event", listener.error);
     }
   }
 
@@ -50,24 +53,24 @@
     return new RoutingEvent.DecodeFailed(attempt(), failure);
   }
 
-  private void handleEvent(JsonNode event, StreamListener reader) {
-    int total = event.path("usage").path("completion_tokens").asInt(reader.tokensReceived + 1);
+  private void handleEvent(JsonNode event, StreamListener listener) {
+    int total = event.path("usage").path("completion_tokens").asInt(listener.tokensReceived + 1);
     JsonNode choice = event.path("choices").path(0);
     if (!(choice instanceof ObjectNode object)) {
       return;
     }
-    Chunk chunk = toChunk(object, total - reader.tokensReceived);
-    reader.tokensReceived = total;
+    Chunk chunk = toChunk(object, total - listener.tokensReceived);
+    listener.tokensReceived = total;
     if (exchange().sink().append(producer, chunk)) {
       post(new RoutingEvent.TokensArrived(attempt(), chunk.tokens()));
     }
     if (chunk.finishReason() != null) {
-      finishStream(reader);
+      finishStream(listener);
     }
   }
 
-  private void finishStream(StreamListener reader) {
-    reader.finished = true;
+  private void finishStream(StreamListener listener) {
+    listener.finished = true;
     if (exchange().sink().isCurrent(producer)) {
       post(new RoutingEvent.DecodeFinished(attempt()));
     }
@@ -85,15 +88,15 @@
     return new Chunk(choice, text, ids, tokens, reason.isTextual() ? reason.asText() : null);
   }
 
-  /** Collects the events of the stream on the thread of the call. */
+  /** Receives the server-sent events of the stream, on the thread of the call. */
   private final class StreamListener extends EventSourceListener {
     private final ProgressMonitor monitor;
     private int tokensReceived;
     private boolean finished;
     private @Nullable Throwable error;
 
-    StreamListener(ProgressMonitor watch) {
-      this.monitor = watch;
+    StreamListener(ProgressMonitor monitor) {
+      this.monitor = monitor;
     }
 
     @Override
@@ -103,7 +106,7 @@
       if (finished) {
         return;
       }
-      if (data.equals(LAST_EVENT)) {
+      if (data.equals(FINAL_EVENT)) {
         finishStream(this);
         return;
       }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EndToEndHeaders.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EndToEndHeaders.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Decides which headers pass through the router. */
+/** Decides which HTTP headers the router forwards. */
 public final class EndToEndHeaders {
   private static final Set<String> HOP_BY_HOP =
       Set.of(
@@ -18,19 +18,19 @@
           "content-length",
           "host");
 
-  /** The API key is for the router, and the compression is up to the HTTP client. */
+  /** Headers addressed to the router; the HTTP client negotiates compression by itself. */
   private static final Set<String> ROUTER_ONLY =
       Set.of("authorization", "accept-encoding", "x-request-id", "expect");
 
   private EndToEndHeaders() {}
 
-  /** Returns whether a header of a caller goes to the service. */
+  /** Returns whether a request header of a caller is forwarded to the service. */
   public static boolean passesToService(String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     return !HOP_BY_HOP.contains(lower) && !ROUTER_ONLY.contains(lower);
   }
 
-  /** Returns whether a header of a service goes to the caller. */
+  /** Returns whether a response header of a service is forwarded to the caller. */
   public static boolean passesToCaller(String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     return !HOP_BY_HOP.contains(lower) && !lower.equals("x-request-id");
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
@@ -10,7 +10,10 @@
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.daemon.routing.GenerationExchange;
 
-/** One call of an engine for an attempt; runs on a virtual thread of its own. */
+/**
+ * One engine call of an attempt. It blocks a virtual thread of its own until the response ends and
+ * posts routing events about progress and failure.
+ */
 abstract class EngineCall implements Runnable {
   private static final int STATUS_GONE = 410;
   private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -29,23 +32,23 @@
       UpstreamHost host,
       GenerationExchange exchange,
       AttemptId attempt,
-      ProgressTimeouts limits,
+      ProgressTimeouts timeouts,
       Call call) {
     this.context = context;
     this.host = host;
     this.exchange = exchange;
     this.attempt = attempt;
-    this.timeouts = limits;
+    this.timeouts = timeouts;
     this.call = call;
   }
 
   @Override
   public final void run() {
-    ProgressMonitor watch = new ProgressMonitor(context.timers(), call, timeouts.firstToken());
+    ProgressMonitor monitor = new ProgressMonitor(context.timers(), call, timeouts.firstToken());
     try {
       try (Response response = call.execute()) {
         if (response.isSuccessful()) {
-          readResponse(response, watch);
+          readResponse(response, monitor);
           host.recordSuccess();
         } else {
           postFailure(classifyErrorResponse(response));
@@ -57,20 +60,20 @@
       if (cancelled) {
         return;
       }
-      postFailure(context.failureProbe().classify(host, attempt, watch.expired()));
+      postFailure(context.failureProbe().classify(host, attempt, monitor.expired()));
     } finally {
-      watch.close();
+      monitor.close();
       context.activeCalls().remove(this);
     }
   }
 
-  /** Reads a successful answer and posts the events that it means. */
-  abstract void readResponse(Response response, ProgressMonitor watch) throws IOException;
+  /** Reads a successful response, reports its progress to the monitor and posts routing events. */
+  abstract void readResponse(Response response, ProgressMonitor monitor) throws IOException;
 
-  /** Returns the event for a failure. */
+  /** Returns the routing event that reports a failure. */
   abstract RoutingEvent failureEvent(Failure failure);
 
-  /** Ends the call without further events. */
+  /** Cancels the call; it posts no further events. */
   final void cancel() {
     cancelled = true;
     call.cancel();
@@ -110,6 +113,9 @@
     return timeouts;
   }
 
+  /**
+   * Returns the failure for an error response and reports an upstream that is leaving (draining).
+   */
   private Failure classifyErrorResponse(Response response) throws IOException {
     if (response.header("X-Leaving") != null) {
       context.events().accept(new RoutingEvent.UpstreamLeaving(host.id()));
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
@@ -21,7 +21,10 @@
 import org.mustardlatch.daemon.routing.GenerationInput;
 import org.mustardlatch.daemon.routing.ResponseSink.Producer;
 
-/** Calls engines for the routing policy. */
+/**
+ * HTTP client that executes the engine commands of the routing policy. Results are posted as
+ * routing events; blocking calls run on the executor.
+ */
 public final class EngineClient implements EngineCommandExecutor {
   private final UpstreamHosts hosts;
   private final ManifestInForce manifest;
@@ -33,10 +36,11 @@
   private final Consumer<RoutingEvent> events;
 
   /**
-   * Creates a client without calls.
+   * Creates a client without calls in progress.
    *
    * @param executor runs blocking calls, one virtual thread each
-   * @param events takes what the calls report
+   * @param owner identifies this node to engines
+   * @param events receives the routing events that the calls produce
    */
   public EngineClient(
       UpstreamHosts hosts,
@@ -56,23 +60,23 @@
 
   @Override
   public void startPrefill(GenerationExchange exchange, AttemptId attempt, UpstreamId upstream) {
-    // From here on the earlier attempt must not add to the answer, or the longer prompt of this one
-    // would lack what it adds.
+    // Stops the earlier attempt from adding output that the prompt of this attempt would lack.
     exchange.sink().openProducer(attempt);
     Optional<UpstreamHost> host = hosts.find(upstream);
     if (host.isEmpty()) {
       events.accept(new RoutingEvent.PrefillFailed(attempt, Failure.REFUSED));
       return;
     }
-    RequestBody body = EngineRequestBodies.prefill(exchange.input(), exchange.sink().partialOutput());
-    Call call = call(host.get(), exchange.input().path(), attempt, body);
+    RequestBody body =
+        EngineRequestBodies.prefill(exchange.input(), exchange.sink().partialOutput());
+    Call call = newCall(host.get(), exchange.input().path(), attempt, body);
     start(new PrefillCall(context, host.get(), exchange, attempt, timeouts(exchange), call));
   }
 
   @Override
   public void startDecode(
       GenerationExchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle) {
-    Producer lane = exchange.sink().openProducer(attempt);
+    Producer producer = exchange.sink().openProducer(attempt);
     Optional<UpstreamHost> host = hosts.find(upstream);
     Optional<HttpUrl> source = hosts.find(handle.source()).map(UpstreamHost::baseUrl);
     Optional<JsonNode> transfer = exchange.transferParameters(handle.reference());
@@ -83,8 +87,8 @@
     RequestBody body =
         EngineRequestBodies.decode(
             exchange.input(), exchange.sink().partialOutput(), transfer.get(), source.get());
-    Call call = call(host.get(), exchange.input().path(), attempt, body);
-    start(new DecodeCall(context, host.get(), exchange, lane, timeouts(exchange), call));
+    Call call = newCall(host.get(), exchange.input().path(), attempt, body);
+    start(new DecodeCall(context, host.get(), exchange, producer, timeouts(exchange), call));
   }
 
   @Override
@@ -94,8 +98,8 @@
   }
 
   @Override
-  public void cancelOrphaned(ReportedAttempt held, UpstreamId upstream) {
-    cancel(held.attempt(), upstream);
+  public void cancelOrphaned(ReportedAttempt orphan, UpstreamId upstream) {
+    cancel(orphan.attempt(), upstream);
   }
 
   @Override
@@ -119,7 +123,7 @@
     executor.execute(call);
   }
 
-  private Call call(UpstreamHost host, String path, AttemptId attempt, RequestBody body) {
+  private Call newCall(UpstreamHost host, String path, AttemptId attempt, RequestBody body) {
     return host.client()
         .newCall(
             new Request.Builder()
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineJson.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineJson.java
@@ -6,20 +6,21 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import java.io.IOException;
 
-/** Reads JSON from engines. */
+/** Parses JSON received from engines. */
 final class EngineJson {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private EngineJson() {}
 
+  /** Returns the node that stands for an absent response. */
   static JsonNode missingNode() {
     return MissingNode.getInstance();
   }
 
   /**
-   * Reads a value.
+   * Parses a JSON value.
    *
-   * @throws IOException when the text is not JSON
+   * @throws IOException when the text is malformed
    */
   static JsonNode parse(String text) throws IOException {
     try {
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/FailureProbe.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/FailureProbe.java
@@ -11,16 +11,19 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * Finds out what a broken or silent call means. A fresh connection tells a dead process from a dead
- * connection, because open connections may go silent while new ones work.
+ * Classifies an engine call that broke or stalled, by a metrics request to the same engine. After a
+ * stall the idle connections are evicted first, so the probe opens a new connection: an established
+ * connection may stop delivering data while new ones work, so this tells a dead engine process from
+ * a dead connection.
  */
 final class FailureProbe {
-  private static final Duration TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
   /**
-   * Returns the failure of a call that ended without an answer.
+   * Returns the failure of a call that ended without a complete response. Blocks for up to one
+   * second.
    *
-   * @param stalled whether the call was given up because it made no progress
+   * @param stalled whether the call was cancelled because it made no progress
    */
   Failure classify(UpstreamHost host, AttemptId attempt, boolean stalled) {
     if (stalled) {
@@ -31,10 +34,13 @@
     return failure;
   }
 
+  /**
+   * Probes the engine; a second stall without a success in between is reported as a stalled engine.
+   */
   private static Failure probe(UpstreamHost host, boolean stalled) {
     Request request = new Request.Builder().url(host.url("/metrics.json")).build();
     try (Response response =
-        host.client().newBuilder().callTimeout(TIMEOUT).build().newCall(request).execute()) {
+        host.client().newBuilder().callTimeout(PROBE_TIMEOUT).build().newCall(request).execute()) {
       if (stalled && host.recordStall()) {
         return Failure.STALLED;
       }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/PrefillCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/PrefillCall.java
@@ -11,27 +11,27 @@
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.daemon.routing.GenerationExchange;
 
-/** Has an engine process a prompt and keep the KV cache. */
+/** A prefill call: the engine processes the prompt and retains the KV cache for a decode call. */
 final class PrefillCall extends EngineCall {
   PrefillCall(
       EngineContext context,
       UpstreamHost host,
       GenerationExchange exchange,
       AttemptId attempt,
-      ProgressTimeouts limits,
+      ProgressTimeouts timeouts,
       Call call) {
-    super(context, host, exchange, attempt, limits, call);
+    super(context, host, exchange, attempt, timeouts, call);
   }
 
   @Override
-  void readResponse(Response response, ProgressMonitor watch) throws IOException {
+  void readResponse(Response response, ProgressMonitor monitor) throws IOException {
     JsonNode transfer = EngineJson.parse(response.body().string()).path("kv_transfer_params");
     String reference = transfer.path("remote_request_id").asText();
     if (reference.isEmpty()) {
-      throw new IOException("prefill answer has no kv_transfer_params.remote_request_id");
+      throw new IOException("prefill response has no kv_transfer_params.remote_request_id");
     }
     exchange().storeTransferParameters(reference, transfer);
-    long lifeNanos = Duration.ofMillis(transfer.path("expires_ms").asLong()).toNanos();
+    long timeToLiveNanos = Duration.ofMillis(transfer.path("expires_ms").asLong()).toNanos();
     post(
         new RoutingEvent.PrefillFinished(
             attempt(),
@@ -39,7 +39,7 @@
                 host().id(),
                 reference,
                 transfer.path("remote_bytes").asLong(),
-                context().timers().nanos() + lifeNanos)));
+                context().timers().nanos() + timeToLiveNanos)));
   }
 
   @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ProgressMonitor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ProgressMonitor.java
@@ -6,8 +6,9 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Cancels a call that makes no progress. One timer serves all progress of a call: when it fires
- * early it is set again for the rest of the time, so that a token costs no timer operation.
+ * Cancels an engine call that makes no progress in time. Recording progress only moves the
+ * deadline; a timer that fires before the deadline is scheduled again for the remaining time, so
+ * that a token costs no timer operation.
  */
 final class ProgressMonitor {
   private final TimerService timers;
@@ -17,16 +18,16 @@
   private volatile boolean closed;
   private volatile TimerSubscription timer = () -> {};
 
-  ProgressMonitor(TimerService timers, Call call, Duration limit) {
+  ProgressMonitor(TimerService timers, Call call, Duration timeout) {
     this.timers = timers;
     this.call = call;
-    recordProgress(limit);
+    recordProgress(timeout);
     cancelIfExpired();
   }
 
-  /** Reports progress; the next must come within the limit. */
-  void recordProgress(Duration limit) {
-    deadlineNanos = timers.nanos() + limit.toNanos();
+  /** Records progress; the next progress is required within the timeout. */
+  void recordProgress(Duration timeout) {
+    deadlineNanos = timers.nanos() + timeout.toNanos();
   }
 
   /** Returns whether the call was cancelled because it made no progress. */
@@ -34,6 +35,7 @@
     return expired;
   }
 
+  /** Ends the monitoring; the call is not cancelled any more. */
   void close() {
     closed = true;
     timer.cancel();
@@ -43,12 +45,12 @@
     if (closed) {
       return;
     }
-    long leftNanos = deadlineNanos - timers.nanos();
-    if (leftNanos <= 0) {
+    long remainingNanos = deadlineNanos - timers.nanos();
+    if (remainingNanos <= 0) {
       expired = true;
       call.cancel();
     } else {
-      timer = timers.schedule(Duration.ofNanos(leftNanos), this::cancelIfExpired);
+      timer = timers.schedule(Duration.ofNanos(remainingNanos), this::cancelIfExpired);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/RequestSentListener.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/RequestSentListener.java
@@ -3,16 +3,16 @@
 import okhttp3.Call;
 import okhttp3.EventListener;
 
-/** Tells whether any byte of a request may have left this process. */
+/** Records whether any byte of a request may have been sent. Used for one call only. */
 final class RequestSentListener extends EventListener {
-  private volatile boolean mayHaveBeenSent;
+  private volatile boolean headersStarted;
 
   @Override
   public void requestHeadersStart(Call call) {
-    mayHaveBeenSent = true;
+    headersStarted = true;
   }
 
   boolean mayHaveBeenSent() {
-    return mayHaveBeenSent;
+    return headersStarted;
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * An upstream with its own connection pool, so that after a stall the connections to this host
- * alone are given up.
+ * An upstream with its own connection pool, so that a stall evicts only the connections to this
+ * host. Safe for use by several threads.
  */
 final class UpstreamHost {
   private static final int MAX_IDLE_CONNECTIONS = 64;
@@ -25,7 +25,7 @@
   private final ConnectionPool pool =
       new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
-  UpstreamHost(Upstream upstream, OkHttpClient common) {
+  UpstreamHost(Upstream upstream, OkHttpClient sharedClient) {
     this.id = upstream.id();
     this.address = upstream.url();
     HttpUrl url = HttpUrl.get(upstream.url());
@@ -33,7 +33,7 @@
       throw new IllegalArgumentException("\"" + upstream.url() + "\" is not an http URL");
     }
     this.baseUrl = url;
-    this.client = common.newBuilder().connectionPool(pool).build();
+    this.client = sharedClient.newBuilder().connectionPool(pool).build();
   }
 
   UpstreamId id() {
@@ -48,6 +48,7 @@
     return client;
   }
 
+  /** Returns the URL of an absolute path on this host. */
   HttpUrl url(String path) {
     return baseUrl.newBuilder().addEncodedPathSegments(path.substring(1)).build();
   }
@@ -56,17 +57,17 @@
     return baseUrl;
   }
 
-  /** Gives up the idle connections; calls in progress keep theirs. */
+  /** Closes the idle connections; calls in progress keep theirs. */
   void evictConnections() {
     pool.evictAll();
   }
 
-  /** Records that a call ended well. */
+  /** Records that a call succeeded. */
   void recordSuccess() {
     stalledSinceLastSuccess.set(false);
   }
 
-  /** Records a stall; returns whether there was another since the last call that ended well. */
+  /** Records a stall; returns whether another one was recorded since the last successful call. */
   boolean recordStall() {
     return stalledSinceLastSuccess.getAndSet(true);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
@@ -11,8 +11,8 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * The upstreams of all manifests since the start. One that a manifest dropped is kept, because its
- * attempts must still finish or be cancelled.
+ * The upstreams of all manifests applied since the node started. An upstream that a later manifest
+ * removes is kept, because its attempts must still finish or be cancelled.
  */
 public final class UpstreamHosts {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -28,7 +28,7 @@
           .retryOnConnectionFailure(false)
           .build();
 
-  /** Adds and replaces the upstreams of a manifest. */
+  /** Adds the upstreams of a manifest, and replaces those whose URL changed. */
   public void apply(Manifest manifest) {
     manifest.upstreams().forEach(this::addOrReplace);
   }
@@ -41,6 +41,8 @@
     hosts.compute(
         upstream.id(),
         (id, old) ->
-            old != null && old.hasAddress(upstream.url()) ? old : new UpstreamHost(upstream, sharedClient));
+            old != null && old.hasAddress(upstream.url())
+                ? old
+                : new UpstreamHost(upstream, sharedClient));
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -23,8 +23,9 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Reads load reports and lists of held attempts of the engines whose cells this node admits to. An
- * engine that comes under this node is read at once.
+ * Polls the engines of the cells that this node admits to for their load reports and attempt lists.
+ * An engine of a cell that this node takes over is polled within one tick, without waiting for a
+ * period.
  */
 public final class UpstreamPoller {
   private static final Duration TICK_PERIOD = Duration.ofMillis(100);
@@ -44,37 +45,38 @@
   /**
    * Creates a poller that is not started.
    *
-   * @param engines returns the engines to read; called on the thread of the timer service
-   * @param executor runs blocking calls
+   * @param polledEngines supplies the engines to poll; called on the thread of the timer service
+   * @param executor runs the blocking calls
+   * @param events receives the routing events with the results
    */
   public UpstreamPoller(
       UpstreamHosts hosts,
-      Supplier<List<UpstreamId>> engines,
+      Supplier<List<UpstreamId>> polledEngines,
       TimerService timers,
       Executor executor,
       Consumer<RoutingEvent> events) {
     this.hosts = hosts;
-    this.polledEngines = engines;
+    this.polledEngines = polledEngines;
     this.timers = timers;
     this.executor = executor;
     this.events = events;
   }
 
-  /** Starts reading. */
+  /** Starts the polling. */
   public void start() {
     subscription = timers.every(TICK_PERIOD, this::tick);
   }
 
-  /** Stops reading. */
+  /** Stops the polling. Calls in progress still end. */
   public void stop() {
     subscription.cancel();
   }
 
   private void tick() {
-    List<UpstreamId> now = polledEngines.get();
-    nextLoadReadNanos.keySet().retainAll(now);
-    nextAttemptListNanos.keySet().retainAll(now);
-    for (UpstreamId id : now) {
+    List<UpstreamId> current = polledEngines.get();
+    nextLoadReadNanos.keySet().retainAll(current);
+    nextAttemptListNanos.keySet().retainAll(current);
+    for (UpstreamId id : current) {
       hosts
           .find(id)
           .ifPresent(
@@ -89,13 +91,17 @@
     }
   }
 
-  private boolean advanceIfDue(Map<UpstreamId, Long> dueNanos, UpstreamId id, Duration period) {
+  /**
+   * Returns whether an upstream is to be read now; if so, schedules its next read one period later.
+   */
+  private boolean advanceIfDue(
+      Map<UpstreamId, Long> nextReadNanos, UpstreamId id, Duration period) {
     long now = timers.nanos();
-    Long due = dueNanos.get(id);
+    Long due = nextReadNanos.get(id);
     if (due != null && now - due < 0) {
       return false;
     }
-    dueNanos.put(id, now + period.toNanos());
+    nextReadNanos.put(id, now + period.toNanos());
     return true;
   }
 
@@ -116,25 +122,28 @@
   private void readAttemptList(UpstreamHost host) {
     JsonNode list = getJson(host, host.url("/v1/requests"));
     if (list.isObject()) {
-      List<ReportedAttempt> held = new ArrayList<>();
-      list.path("attempts").forEach(item -> addReportedAttempt(held, item));
-      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), held));
+      List<ReportedAttempt> attempts = new ArrayList<>();
+      list.path("attempts").forEach(item -> addReportedAttempt(attempts, item));
+      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), attempts));
     }
   }
 
-  private static void addReportedAttempt(List<ReportedAttempt> held, JsonNode item) {
+  private static void addReportedAttempt(List<ReportedAttempt> attempts, JsonNode item) {
     try {
-      held.add(
+      attempts.add(
           new ReportedAttempt(
               item.path("attempt").asText(),
               new HostId(item.path("owner").asText()),
               item.path("incarnation").asLong()));
     } catch (IllegalArgumentException e) {
-      // Work of a client that is no daemon has no valid owner; it is not ours to cancel.
+      // An attempt of a client other than a router node has no valid owner; nodes must not cancel
+      // it.
     }
   }
 
-  /** Returns the answer, or an empty value when there is none; the next period tries again. */
+  /**
+   * Returns the response, or a missing node when the call fails; the next period repeats the call.
+   */
   private static JsonNode getJson(UpstreamHost host, HttpUrl url) {
     OkHttpClient client = host.client().newBuilder().callTimeout(CALL_TIMEOUT).build();
     try (Response response = client.newCall(new Request.Builder().url(url).build()).execute()) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** The client side towards engines and application services. */
+/** HTTP clients for engines and application services, and the polling of engines. */
 @NullMarked
 package org.mustardlatch.daemon.upstream;
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
@@ -33,7 +33,10 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** Guards against second runs and false refusals with a real client and object service stand-in. */
+/**
+ * Guards against a second run of a keyed request, and against refusals of requests that may run.
+ * Uses the real store client against a stand-in of the object service.
+ */
 class LedgerServiceTest {
   private static final WorkspaceId WORKSPACE = new WorkspaceId("tinta");
   private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
@@ -52,101 +55,106 @@
       };
 
   private final EventLoop timers = new EventLoop("test");
-  private final ObjectServiceStandin standin = new ObjectServiceStandin().start(0);
+  private final ObjectServiceStandin objectService = new ObjectServiceStandin().start(0);
   private final List<ObjectStoreClient> clients = new ArrayList<>();
   private final List<LedgerService> services = new ArrayList<>();
-  private final LedgerService a = node("a");
-  private final LedgerService b = node("b");
+  private final LedgerService nodeA = startNode("a");
+  private final LedgerService nodeB = startNode("b");
 
   @AfterEach
   void stop() {
     services.forEach(LedgerService::stop);
     clients.forEach(ObjectStoreClient::close);
-    standin.close();
+    objectService.close();
     timers.stop();
   }
 
   @Test
   void repeatAtAnotherNodeGetsTheRecordedResponseAndDoesNotRun() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(201, "done")))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Completed(201, "done")))
         .isEqualTo(new KeyedResponse.Ran());
-    KeyedRequestHandle repeat = begin(b, "k", "d");
+    KeyedRequestHandle repeat = begin(nodeB, "k", "d");
     assertThat(await(repeat.dispatchPermitted())).isFalse();
     assertThat(await(repeat.response())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
   }
 
   @Test
   void repeatDuringTheFirstRunIsInProgressAndOtherContentIsKeyReuse() throws Exception {
-    KeyedRequestHandle first = begin(a, "k", "d");
+    KeyedRequestHandle first = begin(nodeA, "k", "d");
     assertThat(await(first.dispatchPermitted())).isTrue();
-    assertThat(await(begin(b, "k", "d").response())).isInstanceOf(KeyedResponse.InProgress.class);
-    assertThat(await(begin(b, "k", "other").response())).isEqualTo(new KeyedResponse.KeyReused());
+    assertThat(await(begin(nodeB, "k", "d").response()))
+        .isInstanceOf(KeyedResponse.InProgress.class);
+    assertThat(await(begin(nodeB, "k", "other").response()))
+        .isEqualTo(new KeyedResponse.KeyReused());
   }
 
   @Test
   void lostStoreResponsesOfStartAndFinishStillGiveOneRecordedRun() throws Exception {
-    standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    KeyedRequestHandle call = begin(a, "k", "d");
-    assertThat(await(call.dispatchPermitted())).isTrue();
-    assertThat(call.claimDispatch()).isTrue();
-    standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(await(call.finish(new DispatchOutcome.Completed(200, "x"))))
+    objectService.setFaults(ObjectServiceFaults.lostAnswers(1));
+    KeyedRequestHandle request = begin(nodeA, "k", "d");
+    assertThat(await(request.dispatchPermitted())).isTrue();
+    assertThat(request.claimDispatch()).isTrue();
+    objectService.setFaults(ObjectServiceFaults.lostAnswers(1));
+    assertThat(await(request.finish(new DispatchOutcome.Completed(200, "x"))))
         .isEqualTo(new KeyedResponse.Ran());
-    assertThat(await(a.drain(LONG_TIMEOUT))).isTrue();
-    assertThat(await(begin(b, "k", "d").response())).isEqualTo(new KeyedResponse.Recorded(200, "x"));
+    assertThat(await(nodeA.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(nodeB, "k", "d").response()))
+        .isEqualTo(new KeyedResponse.Recorded(200, "x"));
   }
 
   @Test
   void storeOutageIsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
-    standin.setFaults(ObjectServiceFaults.DOWN);
-    assertThat(await(begin(a, "k", "d").response())).isInstanceOf(KeyedResponse.NotRun.class);
-    standin.setFaults(ObjectServiceFaults.NONE);
-    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+    objectService.setFaults(ObjectServiceFaults.DOWN);
+    assertThat(await(begin(nodeA, "k", "d").response())).isInstanceOf(KeyedResponse.NotRun.class);
+    objectService.setFaults(ObjectServiceFaults.NONE);
+    assertThat(run(nodeB, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void callerThatDisconnectsBeforeTheClaimFreesTheKey() throws Exception {
-    KeyedRequestHandle first = begin(a, "k", "d");
+    KeyedRequestHandle first = begin(nodeA, "k", "d");
     assertThat(await(first.dispatchPermitted())).isTrue();
     first.callerDisconnected();
     assertThat(first.claimDispatch()).isFalse();
     assertThat(await(first.response())).isInstanceOf(KeyedResponse.NotRun.class);
-    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+    assertThat(run(nodeB, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void requestThatWasNotSentIsNotRunAndFreesTheKey() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.NotSent()))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.NotSent()))
         .isInstanceOf(KeyedResponse.NotRun.class);
-    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(200, "x")))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void unknownOutcomeStaysUnknownForRepeats() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.Unknown()))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Unknown()))
+        .isEqualTo(new KeyedResponse.OutcomeUnknown());
+    assertThat(await(nodeA.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(nodeB, "k", "d").response()))
         .isEqualTo(new KeyedResponse.OutcomeUnknown());
-    assertThat(await(a.drain(LONG_TIMEOUT))).isTrue();
-    assertThat(await(begin(b, "k", "d").response())).isEqualTo(new KeyedResponse.OutcomeUnknown());
   }
 
   @Test
   void oldUuidOfVersionSevenIsRefusedAsExpired() throws Exception {
-    assertThat(await(begin(a, "01890a5d-ac96-774b-bcce-b302099a8057", "d").response()))
+    assertThat(await(begin(nodeA, "01890a5d-ac96-774b-bcce-b302099a8057", "d").response()))
         .isEqualTo(new KeyedResponse.KeyExpired());
   }
 
   @Test
   void startsThatArriveDuringAStoreCallShareTheNextWrite() throws Exception {
-    startFortyOnOneShard(a, a);
-    assertThat(standin.calls("put")).isEqualTo(1);
+    startFortyRequestsOnOneShard(nodeA, nodeA);
+    assertThat(objectService.calls("put")).isEqualTo(1);
   }
 
   @Test
   void startsOfTwoNodesShareOneWriteByTheShardOwner() throws Exception {
-    KeyedRequestTimeouts patient = new KeyedRequestTimeouts(LONG_TIMEOUT, LONG_TIMEOUT, LONG_TIMEOUT);
+    KeyedRequestTimeouts longTimeouts =
+        new KeyedRequestTimeouts(LONG_TIMEOUT, LONG_TIMEOUT, LONG_TIMEOUT);
     Map<HostId, LedgerService> nodes = new ConcurrentHashMap<>();
     List<LedgerService> both = new ArrayList<>();
     for (String name : List.of("a", "b")) {
@@ -157,47 +165,53 @@
               target.receive(new HostId(name), 1, message);
             }
           };
-      both.add(node(name, Optional.of(peers), patient));
+      both.add(startNode(name, Optional.of(peers), longTimeouts));
       nodes.put(new HostId(name), both.getLast());
     }
-    startFortyOnOneShard(both.get(0), both.get(1));
-    assertThat(standin.calls("put")).isEqualTo(1);
+    startFortyRequestsOnOneShard(both.get(0), both.get(1));
+    assertThat(objectService.calls("put")).isEqualTo(1);
   }
 
   @Test
   void nodeWritesDirectlyWhenTheShardOwnerDoesNotRespond() throws Exception {
-    KeyedRequestTimeouts hasty = new KeyedRequestTimeouts(Duration.ofMillis(50), LONG_TIMEOUT, LONG_TIMEOUT);
-    LedgerPeerSender silent = (to, message) -> {};
-    startFortyOnOneShard(
-        node("a", Optional.of(silent), hasty), node("b", Optional.of(silent), hasty));
+    KeyedRequestTimeouts shortOwnerTimeout =
+        new KeyedRequestTimeouts(Duration.ofMillis(50), LONG_TIMEOUT, LONG_TIMEOUT);
+    LedgerPeerSender droppingPeers = (to, message) -> {};
+    startFortyRequestsOnOneShard(
+        startNode("a", Optional.of(droppingPeers), shortOwnerTimeout),
+        startNode("b", Optional.of(droppingPeers), shortOwnerTimeout));
   }
 
-  /** Holds the object service until both nodes have taken all starts. */
-  private void startFortyOnOneShard(LedgerService first, LedgerService second) throws Exception {
-    standin.setFaults(ObjectServiceFaults.slow(60_000));
-    List<KeyedRequestHandle> calls = new ArrayList<>();
-    for (int i = 0; calls.size() < 40; i++) {
+  /**
+   * Begins 40 requests on shard 7, in turn at both nodes, and expects that all may be dispatched.
+   * The object service delays its responses until both nodes have queued all starts.
+   */
+  private void startFortyRequestsOnOneShard(LedgerService first, LedgerService second)
+      throws Exception {
+    objectService.setFaults(ObjectServiceFaults.slow(60_000));
+    List<KeyedRequestHandle> requests = new ArrayList<>();
+    for (int i = 0; requests.size() < 40; i++) {
       String key = "k" + i;
       if (LedgerKey.of(WORKSPACE, key).shard() == 7) {
-        calls.add(begin(calls.size() % 2 == 0 ? first : second, key, "d"));
+        requests.add(begin(requests.size() % 2 == 0 ? first : second, key, "d"));
       }
     }
     for (LedgerService node : List.of(first, second, first, second)) {
-      assertThat(await(node.drain(Duration.ZERO))).isFalse(); // runs after what was queued before
+      assertThat(await(node.drain(Duration.ZERO))).isFalse(); // runs after all tasks queued before
     }
-    standin.setFaults(ObjectServiceFaults.NONE);
-    for (KeyedRequestHandle call : calls) {
-      assertThat(await(call.dispatchPermitted())).isTrue();
+    objectService.setFaults(ObjectServiceFaults.NONE);
+    for (KeyedRequestHandle request : requests) {
+      assertThat(await(request.dispatchPermitted())).isTrue();
     }
   }
 
   private static KeyedResponse run(
       LedgerService node, String key, String digest, DispatchOutcome outcome) throws Exception {
-    KeyedRequestHandle call = begin(node, key, digest);
-    assertThat(await(call.dispatchPermitted())).isTrue();
-    assertThat(call.claimDispatch()).isTrue();
-    assertThat(call.claimDispatch()).isFalse();
-    return await(call.finish(outcome));
+    KeyedRequestHandle request = begin(node, key, digest);
+    assertThat(await(request.dispatchPermitted())).isTrue();
+    assertThat(request.claimDispatch()).isTrue();
+    assertThat(request.claimDispatch()).isFalse();
+    return await(request.finish(outcome));
   }
 
   private static KeyedRequestHandle begin(LedgerService node, String key, String digest) {
@@ -208,15 +222,15 @@
     return new Member(new HostId(name), new RegionId("r"), new ZoneId("z"), 1);
   }
 
-  private LedgerService node(String name) {
-    return node(name, Optional.empty(), KeyedRequestTimeouts.DEFAULT);
+  private LedgerService startNode(String name) {
+    return startNode(name, Optional.empty(), KeyedRequestTimeouts.DEFAULT);
   }
 
-  private LedgerService node(
-      String name, Optional<LedgerPeerSender> peers, KeyedRequestTimeouts policy) {
+  private LedgerService startNode(
+      String name, Optional<LedgerPeerSender> peers, KeyedRequestTimeouts timeouts) {
     ObjectStoreClient client =
         new ObjectStoreClient(
-            URI.create(standin.url()),
+            URI.create(objectService.url()),
             new ObjectStoreTimeouts(
                 Duration.ofSeconds(5), Duration.ofSeconds(10), LONG_TIMEOUT, Duration.ofMillis(20)),
             timers);
@@ -227,7 +241,7 @@
                 new HostId(name),
                 Optional.of(new RegionId("r")),
                 () -> LedgerLimits.of(Duration.ofHours(24), 300),
-                policy),
+                timeouts),
             BOTH_NODES,
             client,
             peers,
--- a/daemon/src/test/java/org/mustardlatch/daemon/routing/ResponseSinkTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/routing/ResponseSinkTest.java
@@ -11,10 +11,13 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.model.RequestId;
 
-/** Guards against late and crossed answers that reach a caller. */
+/**
+ * Guards against output that reaches a caller from a superseded attempt, from another request or
+ * after the end of the response.
+ */
 class ResponseSinkTest {
-  private final LongAdder dropped = new LongAdder();
-  private final ResponseSink sink = new ResponseSink(dropped);
+  private final LongAdder droppedChunks = new LongAdder();
+  private final ResponseSink sink = new ResponseSink(droppedChunks);
   private final AttemptId attempt = new AttemptId(new RequestId("r-1"), 1);
 
   @Test
@@ -26,26 +29,27 @@
     assertThat(sink.append(second, chunk("b"))).isTrue();
     assertThat(sink.partialOutput().text()).isEqualTo("ab");
     assertThat(sink.partialOutput().tokens()).isEqualTo(2);
-    assertThat(dropped.sum()).isEqualTo(1);
+    assertThat(droppedChunks.sum()).isEqualTo(1);
     assertThat(sink.poll(Duration.ZERO)).isInstanceOf(SinkEvent.ChunkAppended.class);
   }
 
   @Test
   void producerOfAnotherRequestIsRejected() {
-    ResponseSink other = new ResponseSink(dropped);
-    ResponseSink.Producer crossed = other.openProducer(new AttemptId(new RequestId("r-2"), 1));
+    ResponseSink other = new ResponseSink(droppedChunks);
+    ResponseSink.Producer foreignProducer =
+        other.openProducer(new AttemptId(new RequestId("r-2"), 1));
     sink.openProducer(attempt);
-    assertThat(sink.append(crossed, chunk("crossed"))).isFalse();
+    assertThat(sink.append(foreignProducer, chunk("crossed"))).isFalse();
     assertThat(sink.partialOutput().text()).isEmpty();
-    assertThat(dropped.sum()).isEqualTo(1);
+    assertThat(droppedChunks.sum()).isEqualTo(1);
   }
 
   @Test
   void closedSinkAcceptsNoFurtherEvents() throws InterruptedException {
-    ResponseSink.Producer lane = sink.openProducer(attempt);
+    ResponseSink.Producer producer = sink.openProducer(attempt);
     sink.complete();
     sink.fail(ErrorCode.INTERNAL, "second end", Duration.ZERO);
-    assertThat(sink.append(lane, chunk("after the end"))).isFalse();
+    assertThat(sink.append(producer, chunk("after the end"))).isFalse();
     assertThat(sink.poll(Duration.ZERO)).isInstanceOf(SinkEvent.Completed.class);
     assertThat(sink.poll(Duration.ZERO)).isNull();
   }
