--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ResponseSink.java
@@ -30,10 +30,10 @@
   /**
    * Creates an empty sink.
    *
-   * @param lateAnswers counts the chunks that were dropped
+   * @param droppedChunks counts the chunks that were dropped
    */
-  public ResponseSink(LongAdder lateAnswers) {
-    this.droppedChunks = lateAnswers;
+  public ResponseSink(LongAdder droppedChunks) {
+    this.droppedChunks = droppedChunks;
   }
 
   /** Opens a producer for an attempt; from then on no other producer may append. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
@@ -27,7 +27,7 @@
   public RoutingService(
       EventLoop loop, RoutingPolicy policy, EngineCommandExecutor engines, PeerSender peers) {
     this.loop = loop;
-    this.runner = new PolicyRunner(loop, policy, this::execute);
+    this.runner = new PolicyRunner(loop, policy, this::executeCommand);
     this.engines = engines;
     this.peers = peers;
   }
@@ -65,7 +65,7 @@
     return explanations;
   }
 
-  private void execute(RoutingCommand command) {
+  private void executeCommand(RoutingCommand command) {
     switch (command) {
       case RoutingCommand.ReserveEngine c ->
           throw new IllegalStateException("engines of this node cannot be reserved: " + c);
@@ -85,8 +85,10 @@
       case RoutingCommand.ReleaseKv c -> engines.releaseKv(c.handle());
       case RoutingCommand.SendPeerMessage c -> peers.send(c.to(), c.message());
       case RoutingCommand.Refuse c ->
-          remove(c.request()).ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
-      case RoutingCommand.Complete c -> remove(c.request()).ifPresent(e -> e.sink().complete());
+          removeExchange(c.request())
+              .ifPresent(e -> e.sink().fail(c.code(), c.detail(), c.retryAfter()));
+      case RoutingCommand.Complete c ->
+          removeExchange(c.request()).ifPresent(e -> e.sink().complete());
       case RoutingCommand.SetTimer c ->
           throw new IllegalStateException("timer commands are handled by the policy runner: " + c);
       case RoutingCommand.CancelTimer c ->
@@ -100,7 +102,7 @@
     return Optional.ofNullable(exchanges.get(request));
   }
 
-  private Optional<GenerationExchange> remove(RequestId request) {
+  private Optional<GenerationExchange> removeExchange(RequestId request) {
     return Optional.ofNullable(exchanges.remove(request));
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
@@ -41,8 +41,8 @@
   public ApplicationResult send(UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("unknown upstream " + upstream)
-        : execute(host.get(), host.get().client().newBuilder(), request, timeout);
+        ? new ApplicationResult.NotSent("upstream " + upstream + " is unknown")
+        : executeCall(host.get(), host.get().client().newBuilder(), request, timeout);
   }
 
   /**
@@ -55,8 +55,8 @@
       UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("unknown upstream " + upstream)
-        : execute(
+        ? new ApplicationResult.NotSent("upstream " + upstream + " is unknown")
+        : executeCall(
             host.get(),
             host.get()
                 .client()
@@ -66,7 +66,7 @@
             timeout);
   }
 
-  private static ApplicationResult execute(
+  private static ApplicationResult executeCall(
       UpstreamHost host,
       OkHttpClient.Builder client,
       ApplicationRequest request,
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
@@ -69,7 +69,7 @@
     }
     RequestBody body =
         EngineRequestBodies.prefill(exchange.input(), exchange.sink().partialOutput());
-    Call call = newCall(host.get(), exchange.input().path(), attempt, body);
+    Call call = newEngineCall(host.get(), exchange.input().path(), attempt, body);
     start(new PrefillCall(context, host.get(), exchange, attempt, timeouts(exchange), call));
   }
 
@@ -87,7 +87,7 @@
     RequestBody body =
         EngineRequestBodies.decode(
             exchange.input(), exchange.sink().partialOutput(), transfer.get(), source.get());
-    Call call = newCall(host.get(), exchange.input().path(), attempt, body);
+    Call call = newEngineCall(host.get(), exchange.input().path(), attempt, body);
     start(new DecodeCall(context, host.get(), exchange, producer, timeouts(exchange), call));
   }
 
@@ -123,7 +123,7 @@
     executor.execute(call);
   }
 
-  private Call newCall(UpstreamHost host, String path, AttemptId attempt, RequestBody body) {
+  private Call newEngineCall(UpstreamHost host, String path, AttemptId attempt, RequestBody body) {
     return host.client()
         .newCall(
             new Request.Builder()
