--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.daemon.routing.Chunk;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.SinkEvent;
 
@@ -20,13 +20,13 @@
   private static final Duration CONNECTION_CHECK_INTERVAL = Duration.ofMillis(250);
 
   private final Context ctx;
-  private final Exchange exchange;
+  private final GenerationExchange exchange;
   private final ResponseSink sink;
   private final CallerConnection connection;
   private final CompletionFormatter formatter;
   private int tokenCount;
 
-  CompletionWriter(Context ctx, Exchange exchange) {
+  CompletionWriter(Context ctx, GenerationExchange exchange) {
     this.ctx = ctx;
     this.exchange = exchange;
     this.sink = exchange.sink();
@@ -59,14 +59,14 @@
     String finishReason = "stop";
     for (SinkEvent event = first; ; event = awaitNext()) {
       switch (event) {
-        case SinkEvent.Piece piece -> {
+        case SinkEvent.ChunkAppended piece -> {
           text.append(piece.chunk().text());
           tokenCount += piece.chunk().tokens();
           finishReason = finishReasonOr(piece.chunk(), finishReason);
         }
         case SinkEvent.Failed failed ->
             throw new RefusedException(failed.code(), failed.detail(), failed.retryAfter());
-        case SinkEvent.End end -> {
+        case SinkEvent.Completed end -> {
           ctx.contentType("application/json")
               .result(formatter.formatCompletion(text.toString(), finishReason, tokenCount));
           return WriteOutcome.COMPLETE;
@@ -81,7 +81,7 @@
     OutputStream out = ctx.res().getOutputStream();
     for (SinkEvent event = first; ; event = nextFlushingIfIdle(out)) {
       switch (event) {
-        case SinkEvent.Piece piece -> {
+        case SinkEvent.ChunkAppended piece -> {
           tokenCount += piece.chunk().tokens();
           writeEvent(out, formatter.formatChunk(piece.chunk()));
         }
@@ -90,7 +90,7 @@
           out.flush();
           return WriteOutcome.FAILED;
         }
-        case SinkEvent.End end -> {
+        case SinkEvent.Completed end -> {
           if (exchange.input().usageInStream()) {
             writeEvent(out, formatter.formatUsage(tokenCount));
           }
@@ -107,7 +107,7 @@
    * events are sent with one flush.
    */
   private SinkEvent nextFlushingIfIdle(OutputStream out) throws IOException, InterruptedException {
-    SinkEvent queued = sink.next(Duration.ZERO);
+    SinkEvent queued = sink.poll(Duration.ZERO);
     if (queued != null) {
       return queued;
     }
@@ -116,12 +116,12 @@
   }
 
   private SinkEvent awaitNext() throws IOException, InterruptedException {
-    SinkEvent event = sink.next(CONNECTION_CHECK_INTERVAL);
+    SinkEvent event = sink.poll(CONNECTION_CHECK_INTERVAL);
     while (event == null) {
       if (connection.isClosed()) {
         throw new IOException("caller closed the connection");
       }
-      event = sink.next(CONNECTION_CHECK_INTERVAL);
+      event = sink.poll(CONNECTION_CHECK_INTERVAL);
     }
     return event;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -10,7 +10,7 @@
 import org.mustardlatch.core.routing.GenerationRequest;
 import org.mustardlatch.daemon.node.ManifestInForce;
 import org.mustardlatch.daemon.operator.RequestMetrics;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
 import org.mustardlatch.daemon.routing.ResponseSink;
 import org.mustardlatch.daemon.routing.RoutingService;
@@ -60,11 +60,11 @@
     GenerationInput input = GenerationInputParser.parse(body, chat, activeManifest);
     try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
       GenerationRequest request = createRequest(id, workspace, input, body.length, activeManifest);
-      routeAndRespond(ctx, new Exchange(request, input, new ResponseSink(metrics.staleChunks())));
+      routeAndRespond(ctx, new GenerationExchange(request, input, new ResponseSink(metrics.staleChunks())));
     }
   }
 
-  private void routeAndRespond(Context ctx, Exchange exchange)
+  private void routeAndRespond(Context ctx, GenerationExchange exchange)
       throws IOException, InterruptedException {
     CompletionWriter writer = new CompletionWriter(ctx, exchange);
     routing.submit(exchange);
@@ -72,7 +72,7 @@
       metrics.recordResponse(
           writer.write() == CompletionWriter.WriteOutcome.COMPLETE, writer.tokenCount());
     } catch (IOException | InterruptedException e) {
-      routing.callerGone(exchange);
+      routing.callerDisconnected(exchange);
       metrics.recordDisconnect();
       throw e;
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
@@ -20,12 +20,12 @@
 import org.mustardlatch.core.manifest.Route;
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
-import org.mustardlatch.daemon.ledger.KeyedCall;
+import org.mustardlatch.daemon.ledger.KeyedRequestHandle;
 import org.mustardlatch.daemon.ledger.LedgerService;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.daemon.upstream.ApplicationRequest;
 import org.mustardlatch.daemon.upstream.ApplicationResult;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 
 /**
  * Executes requests with an idempotency key at most once. The ledger decides whether a request may
@@ -40,9 +40,9 @@
   private static final Duration CONNECTION_CHECK_INTERVAL = Duration.ofMillis(250);
 
   private final LedgerService ledger;
-  private final ApplicationCalls applications;
+  private final ApplicationClient applications;
 
-  KeyedRequestExecutor(LedgerService ledger, ApplicationCalls applications) {
+  KeyedRequestExecutor(LedgerService ledger, ApplicationClient applications) {
     this.ledger = ledger;
     this.applications = applications;
   }
@@ -54,7 +54,7 @@
    * @throws MustardlatchException if the request was not executed, is still being executed for an
    *     earlier call, or its outcome is unknown
    */
-  Answered execute(
+  Responded execute(
       Context ctx,
       Workspace workspace,
       Route route,
@@ -63,8 +63,8 @@
       throws InterruptedException {
     String key = requireKey(ctx.header(KEY_HEADER));
     long deadlineNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
-    KeyedCall call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
-    @Nullable Answered ownResponse = null;
+    KeyedRequestHandle call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
+    @Nullable Responded ownResponse = null;
     if (awaitDispatchPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
       ApplicationResult result =
           applications.sendOnce(upstream, request, remainingTime(deadlineNanos));
@@ -72,15 +72,15 @@
         result =
             lookUpOutcome(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
       }
-      ownResponse = result instanceof Answered answered ? answered : null;
+      ownResponse = result instanceof Responded answered ? answered : null;
       var unused = call.finish(toDispatchOutcome(result));
     }
     return toResponse(
-        awaitReply(call.reply()), ownResponse, () -> lookUpOutcome(route, upstream, key));
+        awaitReply(call.response()), ownResponse, () -> lookUpOutcome(route, upstream, key));
   }
 
-  private static Answered toResponse(
-      KeyedResponse reply, @Nullable Answered ownResponse, OutcomeLookup lookup) {
+  private static Responded toResponse(
+      KeyedResponse reply, @Nullable Responded ownResponse, OutcomeLookup lookup) {
     return switch (reply) {
       case KeyedResponse.Ran r -> {
         if (ownResponse == null) {
@@ -107,13 +107,13 @@
     };
   }
 
-  private static Answered recordedResponse(KeyedResponse.Recorded recorded) {
+  private static Responded recordedResponse(KeyedResponse.Recorded recorded) {
     String text = recorded.response();
     if (text != null) {
       return RecordedResponseCodec.decode(recorded.status(), text);
     }
     String note = "{\"note\":\"it ran; its answer was too long or is too old to be repeated\"}";
-    return new Answered(
+    return new Responded(
         recorded.status(),
         Map.of("Content-Type", List.of("application/json")),
         ByteString.encodeUtf8(note));
@@ -121,21 +121,21 @@
 
   private static DispatchOutcome toDispatchOutcome(ApplicationResult result) {
     return switch (result) {
-      case Answered a -> new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
+      case Responded a -> new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
       case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
       case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
   }
 
   /** Requests the outcome of a key from the service, if the route has an outcome path. */
-  private Optional<Answered> lookUpOutcome(Route route, UpstreamId upstream, String key) {
+  private Optional<Responded> lookUpOutcome(Route route, UpstreamId upstream, String key) {
     String path = route.outcomePath();
     if (path == null) {
       return Optional.empty();
     }
     ApplicationRequest request =
         new ApplicationRequest("GET", path + "/" + key, Map.of(), ByteString.EMPTY);
-    return applications.send(upstream, request, LOOKUP_TIMEOUT) instanceof Answered answered
+    return applications.send(upstream, request, LOOKUP_TIMEOUT) instanceof Responded answered
             && answered.status() / 100 == 2
         ? Optional.of(answered)
         : Optional.empty();
@@ -145,14 +145,14 @@
    * Waits until the ledger decides whether the request may be dispatched. Returns false if it must
    * not be dispatched or the caller has disconnected.
    */
-  private static boolean awaitDispatchPermission(KeyedCall call, CallerConnection connection)
+  private static boolean awaitDispatchPermission(KeyedRequestHandle call, CallerConnection connection)
       throws InterruptedException {
     while (true) {
       try {
-        return call.mayDispatch().get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        return call.dispatchPermitted().get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
         if (connection.isClosed()) {
-          call.callerGone();
+          call.callerDisconnected();
           return false;
         }
       } catch (ExecutionException e) {
@@ -201,6 +201,6 @@
   }
 
   private interface OutcomeLookup {
-    Optional<Answered> find();
+    Optional<Responded> find();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -16,10 +16,10 @@
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.daemon.node.ManifestInForce;
-import org.mustardlatch.daemon.upstream.ApplicationCalls;
+import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.daemon.upstream.ApplicationRequest;
 import org.mustardlatch.daemon.upstream.ApplicationResult;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 import org.mustardlatch.daemon.upstream.EndToEndHeaders;
 
 /**
@@ -40,7 +40,7 @@
   private final ReadinessCheck readiness;
   private final ManifestInForce manifest;
   private final WorkspaceLimiter limiter;
-  private final ApplicationCalls applications;
+  private final ApplicationClient applications;
   private final KeyedRequestExecutor keyedRequests;
   private final PassThroughRetryBudget retryBudget = new PassThroughRetryBudget();
   private final AtomicInteger roundRobinCounter = new AtomicInteger();
@@ -49,7 +49,7 @@
       ReadinessCheck readiness,
       ManifestInForce manifest,
       WorkspaceLimiter limiter,
-      ApplicationCalls applications,
+      ApplicationClient applications,
       KeyedRequestExecutor keyedRequests) {
     this.readiness = readiness;
     this.manifest = manifest;
@@ -67,7 +67,7 @@
     try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
       ApplicationRequest request = createRequest(ctx, requestId, workspace);
       List<UpstreamId> upstreams = rotateUpstreams(activeManifest, route);
-      Answered response =
+      Responded response =
           route.idempotent()
               ? sendWithRetries(upstreams, request, activeManifest.limits().retryBudgetFraction())
               : keyedRequests.execute(ctx, workspace, route, upstreams.get(0), request);
@@ -79,7 +79,7 @@
    * Sends a request to one upstream after another until one responds with a status other than 503,
    * the retry budget is empty or no upstream is left. A 503 of the last upstream is returned as is.
    */
-  private Answered sendWithRetries(
+  private Responded sendWithRetries(
       List<UpstreamId> upstreams, ApplicationRequest request, double retryFraction) {
     retryBudget.deposit(retryFraction);
     String reason = "";
@@ -89,7 +89,7 @@
       }
       ApplicationResult result = applications.send(upstreams.get(i), request, ATTEMPT_TIMEOUT);
       switch (result) {
-        case Answered a -> {
+        case Responded a -> {
           if (a.status() != SERVICE_UNAVAILABLE || i == upstreams.size() - 1) {
             return a;
           }
@@ -138,7 +138,7 @@
         ctx.method().name(), path, headers, ByteString.of(BodyReader.read(ctx)));
   }
 
-  private static void writeResponse(Context ctx, Answered response) {
+  private static void writeResponse(Context ctx, Responded response) {
     ctx.status(response.status());
     response.headers().forEach((name, values) -> values.forEach(v -> ctx.res().addHeader(name, v)));
     ctx.result(response.body().toByteArray());
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedResponseCodec.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RecordedResponseCodec.java
@@ -9,7 +9,7 @@
 import okio.ByteString;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.ledger.LedgerLimits;
-import org.mustardlatch.daemon.upstream.ApplicationResult.Answered;
+import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 
 /**
  * Encodes the response of a service as text for a ledger record, and decodes it again. Content type
@@ -21,7 +21,7 @@
   private RecordedResponseCodec() {}
 
   /** Returns the encoded response, or null if it is too long for a record or not UTF-8 text. */
-  static @Nullable String encode(Answered response) {
+  static @Nullable String encode(Responded response) {
     if (response.body().size() > LedgerLimits.MAX_RESPONSE_CHARS) {
       return null;
     }
@@ -39,9 +39,9 @@
   }
 
   /** Returns the response that was encoded as the given text, with the given status. */
-  static Answered decode(int status, String text) {
+  static Responded decode(int status, String text) {
     ObjectNode json = StrictJson.readObject(text.getBytes(StandardCharsets.UTF_8));
-    return new Answered(
+    return new Responded(
         status,
         Map.of(CONTENT_TYPE, List.of(json.path("type").asText())),
         ByteString.encodeUtf8(json.path("body").asText()));
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.routing.ExplainLog;
 import org.mustardlatch.daemon.routing.RoutingService;
-import org.mustardlatch.daemon.upstream.EngineCalls;
+import org.mustardlatch.daemon.upstream.EngineClient;
 
 /**
  * Collects the state of this node for the operator interface. Called on the threads of the HTTP
@@ -29,7 +29,7 @@
   private final ManifestInForce manifest;
   private final Membership membership;
   private final RoutingService routing;
-  private final EngineCalls engines;
+  private final EngineClient engines;
   private final Supplier<Map<String, Object>> componentStates;
 
   /**
@@ -44,7 +44,7 @@
       ManifestInForce manifest,
       Membership membership,
       RoutingService routing,
-      EngineCalls engines,
+      EngineClient engines,
       Supplier<Map<String, Object>> componentStates) {
     this.settings = settings;
     this.state = state;
@@ -65,7 +65,7 @@
     status.put("ready", state.phase() == NodeState.Phase.READY);
     status.put("revision", manifest.revision());
     manifest.current().ifPresent(m -> status.put("digest", m.digest()));
-    status.put("requests_in_progress", routing.inProgress());
+    status.put("requests_in_progress", routing.requestsInProgress());
     ArrayNode list = status.putArray("members");
     membership
         .live()
@@ -82,9 +82,9 @@
   /** Returns the full state: the summary, requests in progress, component states and manifest. */
   ObjectNode dump() {
     ObjectNode dump = status();
-    dump.put("engine_calls_in_progress", engines.inProgress());
+    dump.put("engine_calls_in_progress", engines.callsInProgress());
     ArrayNode requests = dump.putArray("requests");
-    routing.requests().forEach(id -> requests.add(id.value()));
+    routing.requestIds().forEach(id -> requests.add(id.value()));
     componentStates
         .get()
         .forEach((component, value) -> dump.set(component, JSON.valueToTree(value)));
--- /dev/null
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
@@ -0,0 +1,18 @@
+package org.mustardlatch.daemon.upstream;
+
+import java.util.function.LongSupplier;
+import org.mustardlatch.core.model.HostId;
+
+/**
+ * Identifies this node to engines as the owner of its attempts, so that the KV cache and slots they
+ * hold for a dead node or an earlier incarnation can be found and freed.
+ *
+ * @param host this node
+ * @param incarnation supplies the current incarnation of this node
+ */
+public record AttemptOwner(HostId host, LongSupplier incarnation) {
+  /** Returns the value of the header {@code X-Router-Incarnation}. */
+  String headerValue() {
+    return host + "/" + incarnation.getAsLong();
+  }
+}
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/DecodeCall.java
@@ -14,66 +14,69 @@
 import org.mustardlatch.core.routing.Failure;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.daemon.routing.Chunk;
-import org.mustardlatch.daemon.routing.Exchange;
-import org.mustardlatch.daemon.routing.ResponseSink.Lane;
+import org.mustardlatch.daemon.routing.GenerationExchange;
+import org.mustardlatch.daemon.routing.ResponseSink.Producer;
 
-/** Has an engine fetch a KV cache and generate; passes the tokens to the request's sink. */
+/**
+ * A decode call: the engine fetches the KV cache and streams the generated tokens, which are
+ * appended to the request's sink.
+ */
 final class DecodeCall extends EngineCall {
-  private static final String LAST_EVENT = "[DONE]";
+  private static final String FINAL_EVENT = "[DONE]";
 
-  private final Lane lane;
+  private final Producer producer;
 
   DecodeCall(
       EngineContext context,
       UpstreamHost host,
-      Exchange exchange,
-      Lane lane,
-      ProgressLimits limits,
+      GenerationExchange exchange,
+      Producer producer,
+      ProgressTimeouts timeouts,
       Call call) {
-    super(context, host, exchange, lane.attempt(), limits, call);
-    this.lane = lane;
+    super(context, host, exchange, producer.attempt(), timeouts, call);
+    this.producer = producer;
   }
 
   @Override
-  void read(Response response, ProgressWatch watch) throws IOException {
+  void readResponse(Response response, ProgressMonitor monitor) throws IOException {
     post(new RoutingEvent.DecodeStarted(attempt()));
-    watch.progress(limits().firstToken());
-    Reader reader = new Reader(watch);
-    EventSources.processResponse(response, reader);
-    if (!reader.finished && !isCancelled()) {
-      throw new IOException("stream ended before its last event", reader.error);
+    monitor.recordProgress(timeouts().firstToken());
+    StreamListener listener = new StreamListener(monitor);
+    EventSources.processResponse(response, listener);
+    if (!listener.finished && !isCancelled()) {
+      throw new IOException("stream ended before the final event", listener.error);
     }
   }
 
   @Override
-  RoutingEvent failed(Failure failure) {
+  RoutingEvent failureEvent(Failure failure) {
     return new RoutingEvent.DecodeFailed(attempt(), failure);
   }
 
-  private void accept(JsonNode event, Reader reader) {
-    int total = event.path("usage").path("completion_tokens").asInt(reader.tokens + 1);
+  private void handleEvent(JsonNode event, StreamListener listener) {
+    int total = event.path("usage").path("completion_tokens").asInt(listener.tokensReceived + 1);
     JsonNode choice = event.path("choices").path(0);
     if (!(choice instanceof ObjectNode object)) {
       return;
     }
-    Chunk chunk = chunk(object, total - reader.tokens);
-    reader.tokens = total;
-    if (exchange().sink().accept(lane, chunk)) {
+    Chunk chunk = toChunk(object, total - listener.tokensReceived);
+    listener.tokensReceived = total;
+    if (exchange().sink().append(producer, chunk)) {
       post(new RoutingEvent.TokensArrived(attempt(), chunk.tokens()));
     }
     if (chunk.finishReason() != null) {
-      finish(reader);
+      finishStream(listener);
     }
   }
 
-  private void finish(Reader reader) {
-    reader.finished = true;
-    if (exchange().sink().isCurrent(lane)) {
+  private void finishStream(StreamListener listener) {
+    listener.finished = true;
+    if (exchange().sink().isCurrent(producer)) {
       post(new RoutingEvent.DecodeFinished(attempt()));
     }
   }
 
-  private Chunk chunk(ObjectNode choice, int tokens) {
+  private Chunk toChunk(ObjectNode choice, int tokens) {
     List<Integer> ids = new ArrayList<>();
     choice.path("token_ids").forEach(id -> ids.add(id.asInt()));
     choice.remove("token_ids");
@@ -85,30 +88,30 @@
     return new Chunk(choice, text, ids, tokens, reason.isTextual() ? reason.asText() : null);
   }
 
-  /** Collects the events of the stream on the thread of the call. */
-  private final class Reader extends EventSourceListener {
-    private final ProgressWatch watch;
-    private int tokens;
+  /** Receives the server-sent events of the stream, on the thread of the call. */
+  private final class StreamListener extends EventSourceListener {
+    private final ProgressMonitor monitor;
+    private int tokensReceived;
     private boolean finished;
     private @Nullable Throwable error;
 
-    Reader(ProgressWatch watch) {
-      this.watch = watch;
+    StreamListener(ProgressMonitor monitor) {
+      this.monitor = monitor;
     }
 
     @Override
     public void onEvent(
         EventSource source, @Nullable String id, @Nullable String type, String data) {
-      watch.progress(limits().gap());
+      monitor.recordProgress(timeouts().tokenGap());
       if (finished) {
         return;
       }
-      if (data.equals(LAST_EVENT)) {
-        finish(this);
+      if (data.equals(FINAL_EVENT)) {
+        finishStream(this);
         return;
       }
       try {
-        accept(EngineJson.read(data), this);
+        handleEvent(EngineJson.parse(data), this);
       } catch (IOException e) {
         error = e;
         source.cancel();
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineCall.java
@@ -8,69 +8,72 @@
 import org.mustardlatch.core.model.AttemptId;
 import org.mustardlatch.core.routing.Failure;
 import org.mustardlatch.core.routing.RoutingEvent;
-import org.mustardlatch.daemon.routing.Exchange;
+import org.mustardlatch.daemon.routing.GenerationExchange;
 
-/** One call of an engine for an attempt; runs on a virtual thread of its own. */
+/**
+ * One engine call of an attempt. It blocks a virtual thread of its own until the response ends and
+ * posts routing events about progress and failure.
+ */
 abstract class EngineCall implements Runnable {
   private static final int STATUS_GONE = 410;
-  private static final int STATUS_TOO_MANY = 429;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
 
   private final EngineContext context;
   private final UpstreamHost host;
-  private final Exchange exchange;
+  private final GenerationExchange exchange;
   private final AttemptId attempt;
-  private final ProgressLimits limits;
+  private final ProgressTimeouts timeouts;
   private final Call call;
   private volatile boolean cancelled;
 
   EngineCall(
       EngineContext context,
       UpstreamHost host,
-      Exchange exchange,
+      GenerationExchange exchange,
       AttemptId attempt,
-      ProgressLimits limits,
+      ProgressTimeouts timeouts,
       Call call) {
     this.context = context;
     this.host = host;
     this.exchange = exchange;
     this.attempt = attempt;
-    this.limits = limits;
+    this.timeouts = timeouts;
     this.call = call;
   }
 
   @Override
   public final void run() {
-    ProgressWatch watch = new ProgressWatch(context.timers(), call, limits.firstToken());
+    ProgressMonitor monitor = new ProgressMonitor(context.timers(), call, timeouts.firstToken());
     try {
       try (Response response = call.execute()) {
         if (response.isSuccessful()) {
-          read(response, watch);
-          host.noteProgress();
+          readResponse(response, monitor);
+          host.recordSuccess();
         } else {
-          fail(refusal(response));
+          postFailure(classifyErrorResponse(response));
         }
       }
     } catch (ConnectException e) {
-      fail(Failure.REFUSED);
+      postFailure(Failure.REFUSED);
     } catch (IOException e) {
       if (cancelled) {
         return;
       }
-      fail(context.probe().classify(host, attempt, watch.expired()));
+      postFailure(context.failureProbe().classify(host, attempt, monitor.expired()));
     } finally {
-      watch.close();
-      context.calls().remove(this);
+      monitor.close();
+      context.activeCalls().remove(this);
     }
   }
 
-  /** Reads a successful answer and posts the events that it means. */
-  abstract void read(Response response, ProgressWatch watch) throws IOException;
+  /** Reads a successful response, reports its progress to the monitor and posts routing events. */
+  abstract void readResponse(Response response, ProgressMonitor monitor) throws IOException;
 
-  /** Returns the event for a failure. */
-  abstract RoutingEvent failed(Failure failure);
+  /** Returns the routing event that reports a failure. */
+  abstract RoutingEvent failureEvent(Failure failure);
 
-  /** Ends the call without further events. */
+  /** Cancels the call; it posts no further events. */
   final void cancel() {
     cancelled = true;
     call.cancel();
@@ -86,8 +89,8 @@
     }
   }
 
-  final void fail(Failure failure) {
-    post(failed(failure));
+  final void postFailure(Failure failure) {
+    post(failureEvent(failure));
   }
 
   final EngineContext context() {
@@ -98,7 +101,7 @@
     return host;
   }
 
-  final Exchange exchange() {
+  final GenerationExchange exchange() {
     return exchange;
   }
 
@@ -106,20 +109,23 @@
     return attempt;
   }
 
-  final ProgressLimits limits() {
-    return limits;
+  final ProgressTimeouts timeouts() {
+    return timeouts;
   }
 
-  private Failure refusal(Response response) throws IOException {
+  /**
+   * Returns the failure for an error response and reports an upstream that is leaving (draining).
+   */
+  private Failure classifyErrorResponse(Response response) throws IOException {
     if (response.header("X-Leaving") != null) {
       context.events().accept(new RoutingEvent.UpstreamLeaving(host.id()));
     }
     return switch (response.code()) {
-      case STATUS_UNAVAILABLE, STATUS_TOO_MANY -> Failure.REFUSED;
+      case STATUS_UNAVAILABLE, STATUS_TOO_MANY_REQUESTS -> Failure.REFUSED;
       case STATUS_GONE -> Failure.KV_EXPIRED;
       default -> {
-        JsonNode error = EngineJson.read(response.body().string()).path("error");
-        context.logFailure(host, attempt, response.code(), error.path("message").asText());
+        JsonNode error = EngineJson.parse(response.body().string()).path("error");
+        context.logUpstreamError(host, attempt, response.code(), error.path("message").asText());
         yield Failure.REFUSED;
       }
     };
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineContext.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineContext.java
@@ -8,17 +8,20 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * What every engine call needs.
+ * The collaborators shared by all engine calls of a node.
  *
- * @param timers timers
- * @param calls calls in progress
- * @param probe finds out what a broken call means
- * @param events takes the events that calls produce
+ * @param timers clock and timers for progress timeouts
+ * @param activeCalls calls in progress; a call removes itself when it ends
+ * @param failureProbe classifies calls that ended without a complete response
+ * @param events receives the routing events that calls produce
  */
 record EngineContext(
-    TimerService timers, ActiveCalls calls, FailureProbe probe, Consumer<RoutingEvent> events) {
+    TimerService timers,
+    ActiveCalls activeCalls,
+    FailureProbe failureProbe,
+    Consumer<RoutingEvent> events) {
 
-  void logFailure(UpstreamHost host, AttemptId attempt, int status, String message) {
+  void logUpstreamError(UpstreamHost host, AttemptId attempt, int status, String message) {
     EventLog.log(LogEvent.UPSTREAM_ERROR, host.id(), status, attempt, message);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
@@ -10,37 +10,37 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * An upstream with its own connection pool, so that after a stall the connections to this host
- * alone are given up.
+ * An upstream with its own connection pool, so that a stall evicts only the connections to this
+ * host. Safe for use by several threads.
  */
 final class UpstreamHost {
-  private static final int IDLE_CONNECTIONS = 64;
-  private static final long IDLE_SECONDS = 60;
+  private static final int MAX_IDLE_CONNECTIONS = 64;
+  private static final long IDLE_TIMEOUT_SECONDS = 60;
 
   private final UpstreamId id;
   private final URI address;
-  private final HttpUrl base;
+  private final HttpUrl baseUrl;
   private final OkHttpClient client;
-  private final AtomicBoolean stalledBefore = new AtomicBoolean();
+  private final AtomicBoolean stalledSinceLastSuccess = new AtomicBoolean();
   private final ConnectionPool pool =
-      new ConnectionPool(IDLE_CONNECTIONS, IDLE_SECONDS, TimeUnit.SECONDS);
+      new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
-  UpstreamHost(Upstream upstream, OkHttpClient common) {
+  UpstreamHost(Upstream upstream, OkHttpClient sharedClient) {
     this.id = upstream.id();
     this.address = upstream.url();
     HttpUrl url = HttpUrl.get(upstream.url());
     if (url == null) {
       throw new IllegalArgumentException("\"" + upstream.url() + "\" is not an http URL");
     }
-    this.base = url;
-    this.client = common.newBuilder().connectionPool(pool).build();
+    this.baseUrl = url;
+    this.client = sharedClient.newBuilder().connectionPool(pool).build();
   }
 
   UpstreamId id() {
     return id;
   }
 
-  boolean isAt(URI url) {
+  boolean hasAddress(URI url) {
     return address.equals(url);
   }
 
@@ -48,26 +48,27 @@
     return client;
   }
 
+  /** Returns the URL of an absolute path on this host. */
   HttpUrl url(String path) {
-    return base.newBuilder().addEncodedPathSegments(path.substring(1)).build();
+    return baseUrl.newBuilder().addEncodedPathSegments(path.substring(1)).build();
   }
 
-  HttpUrl base() {
-    return base;
+  HttpUrl baseUrl() {
+    return baseUrl;
   }
 
-  /** Gives up the idle connections; calls in progress keep theirs. */
+  /** Closes the idle connections; calls in progress keep theirs. */
   void evictConnections() {
     pool.evictAll();
   }
 
-  /** Records that a call ended well. */
-  void noteProgress() {
-    stalledBefore.set(false);
+  /** Records that a call succeeded. */
+  void recordSuccess() {
+    stalledSinceLastSuccess.set(false);
   }
 
-  /** Records a stall; returns whether there was another since the last call that ended well. */
-  boolean noteStall() {
-    return stalledBefore.getAndSet(true);
+  /** Records a stall; returns whether another one was recorded since the last successful call. */
+  boolean recordStall() {
+    return stalledSinceLastSuccess.getAndSet(true);
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
@@ -11,14 +11,14 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * The upstreams of all manifests since the start. One that a manifest dropped is kept, because its
- * attempts must still finish or be cancelled.
+ * The upstreams of all manifests applied since the node started. An upstream that a later manifest
+ * removes is kept, because its attempts must still finish or be cancelled.
  */
 public final class UpstreamHosts {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
   private final Map<UpstreamId, UpstreamHost> hosts = new ConcurrentHashMap<>();
-  private final OkHttpClient common =
+  private final OkHttpClient sharedClient =
       new OkHttpClient.Builder()
           .dispatcher(new Dispatcher())
           .connectTimeout(CONNECT_TIMEOUT)
@@ -28,19 +28,21 @@
           .retryOnConnectionFailure(false)
           .build();
 
-  /** Adds and replaces the upstreams of a manifest. */
+  /** Adds the upstreams of a manifest, and replaces those whose URL changed. */
   public void apply(Manifest manifest) {
-    manifest.upstreams().forEach(this::put);
+    manifest.upstreams().forEach(this::addOrReplace);
   }
 
   Optional<UpstreamHost> find(UpstreamId id) {
     return Optional.ofNullable(hosts.get(id));
   }
 
-  private void put(Upstream upstream) {
+  private void addOrReplace(Upstream upstream) {
     hosts.compute(
         upstream.id(),
         (id, old) ->
-            old != null && old.isAt(upstream.url()) ? old : new UpstreamHost(upstream, common));
+            old != null && old.hasAddress(upstream.url())
+                ? old
+                : new UpstreamHost(upstream, sharedClient));
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -23,84 +23,90 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Reads load reports and lists of held attempts of the engines whose cells this node admits to. An
- * engine that comes under this node is read at once.
+ * Polls the engines of the cells that this node admits to for their load reports and attempt lists.
+ * An engine of a cell that this node takes over is polled within one tick, without waiting for a
+ * period.
  */
 public final class UpstreamPoller {
-  private static final Duration TICK = Duration.ofMillis(100);
+  private static final Duration TICK_PERIOD = Duration.ofMillis(100);
   private static final Duration LOAD_PERIOD = Duration.ofMillis(500);
-  private static final Duration HELD_PERIOD = Duration.ofSeconds(2);
+  private static final Duration ATTEMPT_LIST_PERIOD = Duration.ofSeconds(2);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final UpstreamHosts hosts;
-  private final Supplier<List<UpstreamId>> engines;
+  private final Supplier<List<UpstreamId>> polledEngines;
   private final TimerService timers;
   private final Executor executor;
   private final Consumer<RoutingEvent> events;
-  private final Map<UpstreamId, Long> loadDueNanos = new HashMap<>();
-  private final Map<UpstreamId, Long> heldDueNanos = new HashMap<>();
+  private final Map<UpstreamId, Long> nextLoadReadNanos = new HashMap<>();
+  private final Map<UpstreamId, Long> nextAttemptListNanos = new HashMap<>();
   private TimerSubscription subscription = () -> {};
 
   /**
    * Creates a poller that is not started.
    *
-   * @param engines returns the engines to read; called on the thread of the timer service
-   * @param executor runs blocking calls
+   * @param polledEngines supplies the engines to poll; called on the thread of the timer service
+   * @param executor runs the blocking calls
+   * @param events receives the routing events with the results
    */
   public UpstreamPoller(
       UpstreamHosts hosts,
-      Supplier<List<UpstreamId>> engines,
+      Supplier<List<UpstreamId>> polledEngines,
       TimerService timers,
       Executor executor,
       Consumer<RoutingEvent> events) {
     this.hosts = hosts;
-    this.engines = engines;
+    this.polledEngines = polledEngines;
     this.timers = timers;
     this.executor = executor;
     this.events = events;
   }
 
-  /** Starts reading. */
+  /** Starts the polling. */
   public void start() {
-    subscription = timers.scheduleRepeating(TICK, this::tick);
+    subscription = timers.scheduleRepeating(TICK_PERIOD, this::tick);
   }
 
-  /** Stops reading. */
+  /** Stops the polling. Calls in progress still end. */
   public void stop() {
     subscription.cancel();
   }
 
   private void tick() {
-    List<UpstreamId> now = engines.get();
-    loadDueNanos.keySet().retainAll(now);
-    heldDueNanos.keySet().retainAll(now);
-    for (UpstreamId id : now) {
+    List<UpstreamId> current = polledEngines.get();
+    nextLoadReadNanos.keySet().retainAll(current);
+    nextAttemptListNanos.keySet().retainAll(current);
+    for (UpstreamId id : current) {
       hosts
           .find(id)
           .ifPresent(
               host -> {
-                if (takeDue(loadDueNanos, id, LOAD_PERIOD)) {
+                if (advanceIfDue(nextLoadReadNanos, id, LOAD_PERIOD)) {
                   executor.execute(() -> readLoad(host));
                 }
-                if (takeDue(heldDueNanos, id, HELD_PERIOD)) {
-                  executor.execute(() -> readHeld(host));
+                if (advanceIfDue(nextAttemptListNanos, id, ATTEMPT_LIST_PERIOD)) {
+                  executor.execute(() -> readAttemptList(host));
                 }
               });
     }
   }
 
-  private boolean takeDue(Map<UpstreamId, Long> dueNanos, UpstreamId id, Duration period) {
+  /**
+   * Returns whether an upstream is to be read now; if so, schedules its next read one period later.
+   */
+  private boolean advanceIfDue(
+      Map<UpstreamId, Long> nextReadNanos, UpstreamId id, Duration period) {
     long now = timers.nanos();
-    Long due = dueNanos.get(id);
+    Long due = nextReadNanos.get(id);
     if (due != null && now - due < 0) {
       return false;
     }
-    dueNanos.put(id, now + period.toNanos());
+    nextReadNanos.put(id, now + period.toNanos());
     return true;
   }
 
   private void readLoad(UpstreamHost host) {
-    JsonNode report = get(host, host.url("/metrics.json"));
+    JsonNode report = getJson(host, host.url("/metrics.json"));
     if (report.isObject()) {
       events.accept(
           new RoutingEvent.LoadReported(
@@ -113,37 +119,40 @@
     }
   }
 
-  private void readHeld(UpstreamHost host) {
-    JsonNode list = get(host, host.url("/v1/requests"));
+  private void readAttemptList(UpstreamHost host) {
+    JsonNode list = getJson(host, host.url("/v1/requests"));
     if (list.isObject()) {
-      List<ReportedAttempt> held = new ArrayList<>();
-      list.path("attempts").forEach(item -> addHeld(held, item));
-      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), held));
+      List<ReportedAttempt> attempts = new ArrayList<>();
+      list.path("attempts").forEach(item -> addReportedAttempt(attempts, item));
+      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), attempts));
     }
   }
 
-  private static void addHeld(List<ReportedAttempt> held, JsonNode item) {
+  private static void addReportedAttempt(List<ReportedAttempt> attempts, JsonNode item) {
     try {
-      held.add(
+      attempts.add(
           new ReportedAttempt(
               item.path("attempt").asText(),
               new HostId(item.path("owner").asText()),
               item.path("incarnation").asLong()));
     } catch (IllegalArgumentException e) {
-      // Work of a client that is no daemon has no valid owner; it is not ours to cancel.
+      // An attempt of a client other than a router node has no valid owner; nodes must not cancel
+      // it.
     }
   }
 
-  /** Returns the answer, or an empty value when there is none; the next period tries again. */
-  private static JsonNode get(UpstreamHost host, HttpUrl url) {
+  /**
+   * Returns the response, or a missing node when the call fails; the next period repeats the call.
+   */
+  private static JsonNode getJson(UpstreamHost host, HttpUrl url) {
     OkHttpClient client = host.client().newBuilder().callTimeout(CALL_TIMEOUT).build();
     try (Response response = client.newCall(new Request.Builder().url(url).build()).execute()) {
       return response.isSuccessful()
-          ? EngineJson.read(response.body().string())
-          : EngineJson.missing();
+          ? EngineJson.parse(response.body().string())
+          : EngineJson.missingNode();
     } catch (IOException e) {
       host.evictConnections();
-      return EngineJson.missing();
+      return EngineJson.missingNode();
     }
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
@@ -33,12 +33,15 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** Guards against second runs and false refusals with a real client and object service stand-in. */
+/**
+ * Guards against a second run of a keyed request, and against refusals of requests that may run.
+ * Uses the real store client against a stand-in of the object service.
+ */
 class LedgerServiceTest {
   private static final WorkspaceId WORKSPACE = new WorkspaceId("tinta");
-  private static final Duration LONG = Duration.ofSeconds(30);
-  private static final InstantSource WALL = () -> Instant.ofEpochSecond(1_800_000_000L);
-  private static final Membership BOTH =
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
+  private static final InstantSource WALL_CLOCK = () -> Instant.ofEpochSecond(1_800_000_000L);
+  private static final Membership BOTH_NODES =
       new Membership() {
         @Override
         public List<Member> live() {
@@ -52,173 +55,184 @@
       };
 
   private final EventLoop timers = new EventLoop("test");
-  private final ObjectServiceStandin standin = new ObjectServiceStandin().start(0);
+  private final ObjectServiceStandin objectService = new ObjectServiceStandin().start(0);
   private final List<ObjectStoreClient> clients = new ArrayList<>();
   private final List<LedgerService> services = new ArrayList<>();
-  private final LedgerService a = node("a");
-  private final LedgerService b = node("b");
+  private final LedgerService nodeA = startNode("a");
+  private final LedgerService nodeB = startNode("b");
 
   @AfterEach
   void stop() {
     services.forEach(LedgerService::stop);
     clients.forEach(ObjectStoreClient::close);
-    standin.close();
+    objectService.close();
     timers.stop();
   }
 
   @Test
-  void repeatAtAnotherNodeGetsTheRecordedAnswerAndDoesNotRun() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(201, "done")))
+  void repeatAtAnotherNodeGetsTheRecordedResponseAndDoesNotRun() throws Exception {
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Completed(201, "done")))
         .isEqualTo(new KeyedResponse.Ran());
-    KeyedCall repeat = begin(b, "k", "d");
-    assertThat(get(repeat.mayDispatch())).isFalse();
-    assertThat(get(repeat.reply())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
+    KeyedRequestHandle repeat = begin(nodeB, "k", "d");
+    assertThat(await(repeat.dispatchPermitted())).isFalse();
+    assertThat(await(repeat.response())).isEqualTo(new KeyedResponse.Recorded(201, "done"));
   }
 
   @Test
-  void repeatWhileTheFirstIsRunningIsInProgressAndOtherContentIsReuse() throws Exception {
-    KeyedCall first = begin(a, "k", "d");
-    assertThat(get(first.mayDispatch())).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isInstanceOf(KeyedResponse.InProgress.class);
-    assertThat(get(begin(b, "k", "other").reply())).isEqualTo(new KeyedResponse.KeyReused());
+  void repeatDuringTheFirstRunIsInProgressAndOtherContentIsKeyReuse() throws Exception {
+    KeyedRequestHandle first = begin(nodeA, "k", "d");
+    assertThat(await(first.dispatchPermitted())).isTrue();
+    assertThat(await(begin(nodeB, "k", "d").response()))
+        .isInstanceOf(KeyedResponse.InProgress.class);
+    assertThat(await(begin(nodeB, "k", "other").response()))
+        .isEqualTo(new KeyedResponse.KeyReused());
   }
 
   @Test
-  void lostAnswersOfStartAndFinishStillGiveOneRunWithItsAnswer() throws Exception {
-    standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    KeyedCall call = begin(a, "k", "d");
-    assertThat(get(call.mayDispatch())).isTrue();
-    assertThat(call.claimDispatch()).isTrue();
-    standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(get(call.finish(new DispatchOutcome.Completed(200, "x"))))
+  void lostStoreResponsesOfStartAndFinishStillGiveOneRecordedRun() throws Exception {
+    objectService.setFaults(ObjectServiceFaults.lostAnswers(1));
+    KeyedRequestHandle request = begin(nodeA, "k", "d");
+    assertThat(await(request.dispatchPermitted())).isTrue();
+    assertThat(request.claimDispatch()).isTrue();
+    objectService.setFaults(ObjectServiceFaults.lostAnswers(1));
+    assertThat(await(request.finish(new DispatchOutcome.Completed(200, "x"))))
         .isEqualTo(new KeyedResponse.Ran());
-    assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.Recorded(200, "x"));
+    assertThat(await(nodeA.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(nodeB, "k", "d").response()))
+        .isEqualTo(new KeyedResponse.Recorded(200, "x"));
   }
 
   @Test
-  void outageRefusesAsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
-    standin.setFaults(ObjectServiceFaults.DOWN);
-    assertThat(get(begin(a, "k", "d").reply())).isInstanceOf(KeyedResponse.NotRun.class);
-    standin.setFaults(ObjectServiceFaults.NONE);
-    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+  void storeOutageIsNotRunAndTheSameKeyRunsAfterwards() throws Exception {
+    objectService.setFaults(ObjectServiceFaults.DOWN);
+    assertThat(await(begin(nodeA, "k", "d").response())).isInstanceOf(KeyedResponse.NotRun.class);
+    objectService.setFaults(ObjectServiceFaults.NONE);
+    assertThat(run(nodeB, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
-  void callerThatLeavesBeforeTheClaimFreesTheKey() throws Exception {
-    KeyedCall first = begin(a, "k", "d");
-    assertThat(get(first.mayDispatch())).isTrue();
-    first.callerGone();
+  void callerThatDisconnectsBeforeTheClaimFreesTheKey() throws Exception {
+    KeyedRequestHandle first = begin(nodeA, "k", "d");
+    assertThat(await(first.dispatchPermitted())).isTrue();
+    first.callerDisconnected();
     assertThat(first.claimDispatch()).isFalse();
-    assertThat(get(first.reply())).isInstanceOf(KeyedResponse.NotRun.class);
-    assertThat(run(b, "k", "d", new DispatchOutcome.Completed(200, "x")))
+    assertThat(await(first.response())).isInstanceOf(KeyedResponse.NotRun.class);
+    assertThat(run(nodeB, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void requestThatWasNotSentIsNotRunAndFreesTheKey() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.NotSent()))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.NotSent()))
         .isInstanceOf(KeyedResponse.NotRun.class);
-    assertThat(run(a, "k", "d", new DispatchOutcome.Completed(200, "x")))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Completed(200, "x")))
         .isEqualTo(new KeyedResponse.Ran());
   }
 
   @Test
   void unknownOutcomeStaysUnknownForRepeats() throws Exception {
-    assertThat(run(a, "k", "d", new DispatchOutcome.Unknown()))
+    assertThat(run(nodeA, "k", "d", new DispatchOutcome.Unknown()))
+        .isEqualTo(new KeyedResponse.OutcomeUnknown());
+    assertThat(await(nodeA.drain(LONG_TIMEOUT))).isTrue();
+    assertThat(await(begin(nodeB, "k", "d").response()))
         .isEqualTo(new KeyedResponse.OutcomeUnknown());
-    assertThat(get(a.drain(LONG))).isTrue();
-    assertThat(get(begin(b, "k", "d").reply())).isEqualTo(new KeyedResponse.OutcomeUnknown());
   }
 
   @Test
   void oldUuidOfVersionSevenIsRefusedAsExpired() throws Exception {
-    assertThat(get(begin(a, "01890a5d-ac96-774b-bcce-b302099a8057", "d").reply()))
+    assertThat(await(begin(nodeA, "01890a5d-ac96-774b-bcce-b302099a8057", "d").response()))
         .isEqualTo(new KeyedResponse.KeyExpired());
   }
 
   @Test
-  void startsThatArriveDuringACallShareTheNextWrite() throws Exception {
-    startFortyOnOneShard(a, a);
-    assertThat(standin.calls("put")).isEqualTo(1);
+  void startsThatArriveDuringAStoreCallShareTheNextWrite() throws Exception {
+    startFortyRequestsOnOneShard(nodeA, nodeA);
+    assertThat(objectService.calls("put")).isEqualTo(1);
   }
 
   @Test
-  void startsOfTwoNodesShareTheWriteOfTheOwner() throws Exception {
-    KeyedRequestTimeouts patient = new KeyedRequestTimeouts(LONG, LONG, LONG);
+  void startsOfTwoNodesShareOneWriteByTheShardOwner() throws Exception {
+    KeyedRequestTimeouts longTimeouts =
+        new KeyedRequestTimeouts(LONG_TIMEOUT, LONG_TIMEOUT, LONG_TIMEOUT);
     Map<HostId, LedgerService> nodes = new ConcurrentHashMap<>();
     List<LedgerService> both = new ArrayList<>();
     for (String name : List.of("a", "b")) {
-      LedgerPeers peers =
+      LedgerPeerSender peers =
           (to, message) -> {
             LedgerService target = nodes.get(to);
             if (target != null) {
               target.receive(new HostId(name), 1, message);
             }
           };
-      both.add(node(name, Optional.of(peers), patient));
+      both.add(startNode(name, Optional.of(peers), longTimeouts));
       nodes.put(new HostId(name), both.getLast());
     }
-    startFortyOnOneShard(both.get(0), both.get(1));
-    assertThat(standin.calls("put")).isEqualTo(1);
+    startFortyRequestsOnOneShard(both.get(0), both.get(1));
+    assertThat(objectService.calls("put")).isEqualTo(1);
   }
 
   @Test
-  void nodeWritesDirectlyWhenTheOwnerDoesNotAnswer() throws Exception {
-    KeyedRequestTimeouts hasty = new KeyedRequestTimeouts(Duration.ofMillis(50), LONG, LONG);
-    LedgerPeers silent = (to, message) -> {};
-    startFortyOnOneShard(
-        node("a", Optional.of(silent), hasty), node("b", Optional.of(silent), hasty));
-  }
-
-  /** Holds the object service until both nodes have taken all starts. */
-  private void startFortyOnOneShard(LedgerService first, LedgerService second) throws Exception {
-    standin.setFaults(ObjectServiceFaults.slow(60_000));
-    List<KeyedCall> calls = new ArrayList<>();
-    for (int i = 0; calls.size() < 40; i++) {
+  void nodeWritesDirectlyWhenTheShardOwnerDoesNotRespond() throws Exception {
+    KeyedRequestTimeouts shortOwnerTimeout =
+        new KeyedRequestTimeouts(Duration.ofMillis(50), LONG_TIMEOUT, LONG_TIMEOUT);
+    LedgerPeerSender droppingPeers = (to, message) -> {};
+    startFortyRequestsOnOneShard(
+        startNode("a", Optional.of(droppingPeers), shortOwnerTimeout),
+        startNode("b", Optional.of(droppingPeers), shortOwnerTimeout));
+  }
+
+  /**
+   * Begins 40 requests on shard 7, in turn at both nodes, and expects that all may be dispatched.
+   * The object service delays its responses until both nodes have queued all starts.
+   */
+  private void startFortyRequestsOnOneShard(LedgerService first, LedgerService second)
+      throws Exception {
+    objectService.setFaults(ObjectServiceFaults.slow(60_000));
+    List<KeyedRequestHandle> requests = new ArrayList<>();
+    for (int i = 0; requests.size() < 40; i++) {
       String key = "k" + i;
       if (LedgerKey.of(WORKSPACE, key).shard() == 7) {
-        calls.add(begin(calls.size() % 2 == 0 ? first : second, key, "d"));
+        requests.add(begin(requests.size() % 2 == 0 ? first : second, key, "d"));
       }
     }
     for (LedgerService node : List.of(first, second, first, second)) {
-      assertThat(get(node.drain(Duration.ZERO))).isFalse(); // runs after what was queued before
+      assertThat(await(node.drain(Duration.ZERO))).isFalse(); // runs after all tasks queued before
     }
-    standin.setFaults(ObjectServiceFaults.NONE);
-    for (KeyedCall call : calls) {
-      assertThat(get(call.mayDispatch())).isTrue();
+    objectService.setFaults(ObjectServiceFaults.NONE);
+    for (KeyedRequestHandle request : requests) {
+      assertThat(await(request.dispatchPermitted())).isTrue();
     }
   }
 
   private static KeyedResponse run(
       LedgerService node, String key, String digest, DispatchOutcome outcome) throws Exception {
-    KeyedCall call = begin(node, key, digest);
-    assertThat(get(call.mayDispatch())).isTrue();
-    assertThat(call.claimDispatch()).isTrue();
-    assertThat(call.claimDispatch()).isFalse();
-    return get(call.finish(outcome));
+    KeyedRequestHandle request = begin(node, key, digest);
+    assertThat(await(request.dispatchPermitted())).isTrue();
+    assertThat(request.claimDispatch()).isTrue();
+    assertThat(request.claimDispatch()).isFalse();
+    return await(request.finish(outcome));
   }
 
-  private static KeyedCall begin(LedgerService node, String key, String digest) {
-    return node.begin(WORKSPACE, key, digest, System.nanoTime() + LONG.toNanos());
+  private static KeyedRequestHandle begin(LedgerService node, String key, String digest) {
+    return node.begin(WORKSPACE, key, digest, System.nanoTime() + LONG_TIMEOUT.toNanos());
   }
 
   private static Member member(String name) {
     return new Member(new HostId(name), new RegionId("r"), new ZoneId("z"), 1);
   }
 
-  private LedgerService node(String name) {
-    return node(name, Optional.empty(), KeyedRequestTimeouts.DEFAULT);
+  private LedgerService startNode(String name) {
+    return startNode(name, Optional.empty(), KeyedRequestTimeouts.DEFAULT);
   }
 
-  private LedgerService node(
-      String name, Optional<LedgerPeers> peers, KeyedRequestTimeouts policy) {
+  private LedgerService startNode(
+      String name, Optional<LedgerPeerSender> peers, KeyedRequestTimeouts timeouts) {
     ObjectStoreClient client =
         new ObjectStoreClient(
-            URI.create(standin.url()),
+            URI.create(objectService.url()),
             new ObjectStoreTimeouts(
-                Duration.ofSeconds(5), Duration.ofSeconds(10), LONG, Duration.ofMillis(20)),
+                Duration.ofSeconds(5), Duration.ofSeconds(10), LONG_TIMEOUT, Duration.ofMillis(20)),
             timers);
     clients.add(client);
     LedgerService service =
@@ -227,18 +241,18 @@
                 new HostId(name),
                 Optional.of(new RegionId("r")),
                 () -> LedgerLimits.of(Duration.ofHours(24), 300),
-                policy),
-            BOTH,
+                timeouts),
+            BOTH_NODES,
             client,
             peers,
-            WALL,
+            WALL_CLOCK,
             new SecureRandom());
     services.add(service);
     service.start();
     return service;
   }
 
-  private static <T> T get(CompletableFuture<T> future) throws Exception {
+  private static <T> T await(CompletableFuture<T> future) throws Exception {
     return future.get(40, TimeUnit.SECONDS);
   }
 }
