--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
@@ -136,13 +136,14 @@
 
   private final class ConfigurationListener implements StoreListener<GatewayConfiguration> {
     @Override
-    public void listed(List<StoredEntry<GatewayConfiguration>> entries, List<String> unreadable) {
+    public void objectsListed(
+        List<StoredEntry<GatewayConfiguration>> entries, List<String> unreadable) {
       unreadable.forEach(n -> EventLog.log(LogEvent.CONFIGURATION_UNREADABLE, n));
       entries.forEach(e -> apply(e.content()));
     }
 
     @Override
-    public void changed(StoreResponse.Change<GatewayConfiguration> change) {
+    public void objectChanged(StoreResponse.Change<GatewayConfiguration> change) {
       switch (change) {
         case StoreResponse.Change.Put<GatewayConfiguration> p -> apply(p.entry().content());
         case StoreResponse.Change.Unreadable<GatewayConfiguration> u ->
@@ -164,19 +165,19 @@
     }
 
     @Override
-    public void reachable(boolean afterOutage) {
+    public void storeReachable(boolean afterOutage) {
       EventLog.log(LogEvent.STORE_REACHABLE, "configuration");
     }
 
     @Override
-    public void unreachable(String reason) {
+    public void storeUnreachable(String reason) {
       EventLog.log(LogEvent.STORE_UNREACHABLE, "configuration", reason);
     }
   }
 
   private final class InstanceListener implements StoreListener<Instance> {
     @Override
-    public void listed(List<StoredEntry<Instance>> entries, List<String> unreadable) {
+    public void objectsListed(List<StoredEntry<Instance>> entries, List<String> unreadable) {
       unreadable.forEach(n -> EventLog.log(LogEvent.UPSTREAM_ENTRY_UNREADABLE, n));
       table.replace(entries.stream().map(StoredEntry::content).toList(), timers.nanos());
       EventLog.log(LogEvent.UPSTREAMS_LISTED, table.all().size());
@@ -185,7 +186,7 @@
     }
 
     @Override
-    public void changed(StoreResponse.Change<Instance> change) {
+    public void objectChanged(StoreResponse.Change<Instance> change) {
       switch (change) {
         case StoreResponse.Change.Put<Instance> p -> {
           Instance i = p.entry().content();
@@ -206,13 +207,13 @@
     }
 
     @Override
-    public void reachable(boolean afterOutage) {
+    public void storeReachable(boolean afterOutage) {
       table.storeBecameReachable(timers.nanos(), afterOutage);
       EventLog.log(LogEvent.STORE_REACHABLE, "upstreams");
     }
 
     @Override
-    public void unreachable(String reason) {
+    public void storeUnreachable(String reason) {
       table.storeBecameUnreachable();
       EventLog.log(LogEvent.STORE_UNREACHABLE, "upstreams", reason);
     }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
@@ -8,7 +8,7 @@
  * any point. No method is called after the end, a failure or a cancellation.
  */
 public interface CallListener {
-  /** Called when the request has been written to a connection. */
+  /** Called when the request has been handed to a connection to be sent. */
   default void sent() {}
 
   /** Called with the status and the headers. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
@@ -172,7 +172,7 @@
     setAutoRead(true);
     c.markDone();
     if (reusable) {
-      pool.idleConnections(this);
+      pool.returnIdle(this);
     } else {
       close();
     }
@@ -182,7 +182,7 @@
   private void failCall(CallFailure failure, String reason) {
     Call c = call;
     close();
-    pool.closed(this);
+    pool.connectionClosed(this);
     if (c != null) {
       c.markDone();
       c.listener().failed(failure, reason);
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -108,7 +108,7 @@
     b.option((ChannelOption<Object>) option, value);
   }
 
-  void idleConnections(UpstreamConnection c) {
+  void returnIdle(UpstreamConnection c) {
     if (closed) {
       c.close();
     } else {
@@ -116,7 +116,7 @@
     }
   }
 
-  void closed(UpstreamConnection c) {
+  void connectionClosed(UpstreamConnection c) {
     idleConnections.remove(c);
   }
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
@@ -32,19 +32,19 @@
 
   @Override
   public void list(@Nullable String after, Consumer<StoreResponse<T>> consumer) {
-    send(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, consumer);
+    startRead(codec.listRequest(after), RESPONSE_TIMEOUT, codec::decodeList, consumer);
   }
 
   @Override
   public void watch(long revision, Duration wait, Consumer<StoreResponse<T>> consumer) {
-    send(
+    startRead(
         codec.watchRequest(revision, wait),
         wait.plus(RESPONSE_TIMEOUT),
         codec::decodeWatch,
         consumer);
   }
 
-  private void send(
+  private void startRead(
       HttpRequest request,
       Duration timeout,
       BiFunction<Integer, byte[], StoreResponse<T>> decoder,
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
@@ -76,7 +76,7 @@
     }
     if (!(response instanceof StoreResponse.Unavailable<T>)) {
       if (consecutiveFailures > 0 || !everReachable) {
-        listener.reachable(everReachable);
+        listener.storeReachable(everReachable);
       }
       everReachable = true;
       consecutiveFailures = 0;
@@ -87,14 +87,14 @@
         listedUnreadable.addAll(page.unreadable());
         if (page.nextPageAfter() == null) {
           revision = page.revision();
-          listener.listed(List.copyOf(listedEntries), List.copyOf(listedUnreadable));
+          listener.objectsListed(List.copyOf(listedEntries), List.copyOf(listedUnreadable));
           watch();
         } else {
           list(page.nextPageAfter());
         }
       }
       case StoreResponse.Changes<T> changes -> {
-        changes.changes().forEach(listener::changed);
+        changes.changes().forEach(listener::objectChanged);
         revision = changes.revision();
         watch();
       }
@@ -104,7 +104,7 @@
       }
       case StoreResponse.Unavailable<T> u -> {
         if (consecutiveFailures == 0) {
-          listener.unreachable(u.reason());
+          listener.storeUnreachable(u.reason());
         }
         long base = FIRST_BACKOFF.toNanos() << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures);
         consecutiveFailures++;
--- a/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestGateway.java
@@ -79,7 +79,7 @@
         () ->
             fleet
                 .configurationListener()
-                .listed(List.of(new StoredEntry<>("main", configuration())), List.of()));
+                .objectsListed(List.of(new StoredEntry<>("main", configuration())), List.of()));
   }
 
   private static GatewayConfiguration configuration() {
@@ -135,7 +135,7 @@
         () ->
             fleet
                 .instanceListener()
-                .listed(
+                .objectsListed(
                     instances.stream().map(i -> new StoredEntry<>(i.id(), i)).toList(), List.of()));
     return this;
   }
--- a/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
@@ -40,22 +40,22 @@
     StoreListener<String> listener =
         new StoreListener<>() {
           @Override
-          public void listed(List<StoredEntry<String>> entries, List<String> unreadable) {
+          public void objectsListed(List<StoredEntry<String>> entries, List<String> unreadable) {
             notifications.add("listed " + entries.stream().map(StoredEntry::name).toList());
           }
 
           @Override
-          public void changed(StoreResponse.Change<String> change) {
+          public void objectChanged(StoreResponse.Change<String> change) {
             notifications.add(change.getClass().getSimpleName());
           }
 
           @Override
-          public void reachable(boolean afterOutage) {
+          public void storeReachable(boolean afterOutage) {
             notifications.add("reachable " + afterOutage);
           }
 
           @Override
-          public void unreachable(String reason) {
+          public void storeUnreachable(String reason) {
             notifications.add("unreachable");
           }
         };
