--- a/cli/src/main/java/org/mustardlatch/cli/CommandException.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandException.java
@@ -11,10 +11,10 @@
   private final String remedy;
   private final int exitCode;
 
-  CommandException(String code, String place, String message, String remedy, int exitCode) {
+  CommandException(String code, String location, String message, String remedy, int exitCode) {
     super(message);
     this.code = code;
-    this.location = place;
+    this.location = location;
     this.remedy = remedy;
     this.exitCode = exitCode;
   }
--- a/cli/src/main/java/org/mustardlatch/cli/Main.java
+++ b/cli/src/main/java/org/mustardlatch/cli/Main.java
@@ -75,8 +75,8 @@
   private static void printHelp(CmdLineParser parser, PrintStream stream) {
     stream.println("usage: mustardlatch [--help] [--version] COMMAND [OPTIONS]");
     stream.println();
-    for (CommandHelp help : CommandHelp.values()) {
-      stream.printf("  %-44s %s%n", help.synopsis(), help.summary());
+    for (CommandHelp commandHelp : CommandHelp.values()) {
+      stream.printf("  %-44s %s%n", commandHelp.synopsis(), commandHelp.summary());
     }
     stream.println();
     stream.println("exit codes: 0 success, 1 refused or failed, 2 usage error, 3 outcome unknown");
--- a/cli/src/test/java/org/mustardlatch/cli/MainTest.java
+++ b/cli/src/test/java/org/mustardlatch/cli/MainTest.java
@@ -43,8 +43,8 @@
   @Test
   void helpListsEveryCommandAndExitsWithZero() {
     assertThat(run("--help")).isEqualTo(0);
-    for (CommandHelp help : CommandHelp.values()) {
-      assertThat(out()).contains(help.synopsis());
+    for (CommandHelp commandHelp : CommandHelp.values()) {
+      assertThat(out()).contains(commandHelp.synopsis());
     }
     assertThat(err()).isEmpty();
   }
--- a/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/time/VirtualTimerServiceTest.java
@@ -16,15 +16,15 @@
   private final VirtualTimerService timers = new VirtualTimerService();
   private final List<String> calls = new ArrayList<>();
 
-  private void recordCall(String name) {
+  private void record(String name) {
     calls.add(name + "@" + timers.nanos() / 1_000_000);
   }
 
   @Test
   void tasksRunInOrderOfDueTimeAndThenOfScheduling() {
-    timers.schedule(Duration.ofMillis(20), () -> recordCall("late"));
-    timers.schedule(Duration.ofMillis(10), () -> recordCall("first"));
-    timers.schedule(Duration.ofMillis(10), () -> recordCall("second"));
+    timers.schedule(Duration.ofMillis(20), () -> record("late"));
+    timers.schedule(Duration.ofMillis(10), () -> record("first"));
+    timers.schedule(Duration.ofMillis(10), () -> record("second"));
     timers.advance(Duration.ofMillis(30));
     assertThat(calls).containsExactly("first@10", "second@10", "late@20").inOrder();
     assertThat(timers.nanos()).isEqualTo(30_000_000);
@@ -32,7 +32,7 @@
 
   @Test
   void cancelledTaskDoesNotRun() {
-    timers.schedule(Duration.ofMillis(10), () -> recordCall("x")).cancel();
+    timers.schedule(Duration.ofMillis(10), () -> record("x")).cancel();
     timers.advance(Duration.ofMillis(30));
     assertThat(calls).isEmpty();
   }
@@ -44,7 +44,7 @@
         timers.scheduleRepeating(
             Duration.ofMillis(10),
             () -> {
-              recordCall("tick");
+              record("tick");
               if (calls.size() == 3) {
                 subscriptions.get(0).cancel();
               }
@@ -58,7 +58,7 @@
     IllegalArgumentException e =
         assertThrows(
             IllegalArgumentException.class,
-            () -> timers.scheduleRepeating(Duration.ZERO, () -> recordCall("x")));
+            () -> timers.scheduleRepeating(Duration.ZERO, () -> record("x")));
     assertThat(e).hasMessageThat().isEqualTo("period must be greater than zero, got PT0S");
   }
 }
