--- a/wire/src/main/java/org/mustardlatch/wire/Link.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Link.java
@@ -136,9 +136,9 @@
   }
 
   /**
-   * Returns how long a connection may be silent, in nanoseconds. The time doubles with each
-   * new connection that stays silent too, because the handshakes of new connections slow down a
-   * peer that is slow but alive.
+   * Returns how long a connection may be silent, in nanoseconds. The time doubles with each new
+   * connection that stays silent too, because the handshakes of new connections slow down a peer
+   * that is slow but alive.
    */
   synchronized long silenceTimeoutNanos() {
     return TransportLimits.SILENCE_TIMEOUT_NANOS
--- a/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
@@ -124,7 +124,8 @@
     PeerTransport b = transport(B, ca.issue("b"), 0);
     InetSocketAddress addressOfB = start(b);
     TlsFiles untrusted = new TestCertificates(directory, "stranger").issue("a");
-    TlsFiles untrustedTls = new TlsFiles(untrusted.certificate(), untrusted.key(), ca.issue("c").ca());
+    TlsFiles untrustedTls =
+        new TlsFiles(untrusted.certificate(), untrusted.key(), ca.issue("c").ca());
     PeerTransport a = transport(A, untrustedTls, 0);
     start(a);
     a.send(B, hostAndPort(addressOfB), new ConfigFetch(1));
