--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationRequestHandler.java
@@ -134,7 +134,11 @@
       sendToNextUpstream("first");
     }
 
-    /** Acquires a unit of the retry budget if the request may be sent again. */
+    /**
+     * Acquires a unit of the retry budget if the route allows another attempt.
+     *
+     * @return whether the request may be sent again
+     */
     private boolean acquireRetry() {
       return exchange.route().repeatable()
           && attemptCount < exchange.route().maxAttempts()
@@ -152,7 +156,7 @@
       Candidate c = balancer.choose(candidates(this), attemptedUpstreams, now);
       Instance target = c == null ? null : fleet.instance(c.id().value());
       if (c == null || target == null) {
-        failIfNoActiveAttempt(ErrorCode.UPSTREAM_UNAVAILABLE, "no usable upstream left");
+        failIfNoActiveAttempt(ErrorCode.UPSTREAM_UNAVAILABLE, "no upstream left");
         return;
       }
       attemptedUpstreams.add(c.id());
@@ -174,7 +178,10 @@
       scheduleSlowResponseCheck(predicted);
     }
 
-    /** Schedules a second attempt for the case that the response of the first one is slow. */
+    /**
+     * Schedules the check for a slow response. Does so only once for a request, so at most one
+     * attempt is added for slowness.
+     */
     private void scheduleSlowResponseCheck(double predictedNanos) {
       if (exchange.route().repeatable() && slowResponseTimer == null) {
         long delay =
@@ -190,7 +197,10 @@
       }
     }
 
-    /** Ends the request with an error unless another attempt is still in progress. */
+    /**
+     * Ends the request unless another attempt is in progress. The caller gets the server error that
+     * an upstream sent to an earlier attempt, or this error if there was none.
+     */
     private void failIfNoActiveAttempt(ErrorCode code, String reason) {
       if (!activeAttempts.isEmpty()) {
         return;
@@ -236,8 +246,7 @@
       long now = timers.nanos();
       ResponseMetadata metadata = protocol.readResponse(response.head());
       if (response.succeeded() && !metadata.hasUpstreamStamp()) {
-        onCallFailed(
-            attempt, CallFailure.GARBLED, "successful response without an upstream's stamp");
+        onCallFailed(attempt, CallFailure.GARBLED, "success without the mark of an upstream");
         return;
       }
       activeAttempts.remove(attempt);
@@ -275,7 +284,7 @@
       if (refusalCount < MAX_REFUSALS && retryBudget(exchange.service().name()).tryAcquire()) {
         sendToNextUpstream("refused_by_upstream");
       } else {
-        failIfNoActiveAttempt(ErrorCode.OVERLOADED, "every attempted upstream refused the request");
+        failIfNoActiveAttempt(ErrorCode.OVERLOADED, "upstreams refuse work");
       }
     }
 
@@ -291,6 +300,7 @@
           failure,
           reason);
       if (failure == CallFailure.NOT_SENT) {
+        // The upstream did not receive the request, so this is not counted as an attempt.
         attemptCount--;
         if (activeAttempts.isEmpty()) {
           sendToNextUpstream("not_connected");
@@ -303,8 +313,7 @@
       if (acquireRetry()) {
         sendToNextUpstream("broken_answer");
       } else {
-        failIfNoActiveAttempt(
-            ErrorCode.UPSTREAM_FAILED, "response of the upstream was incomplete or invalid");
+        failIfNoActiveAttempt(ErrorCode.UPSTREAM_FAILED, "upstream broke off");
       }
     }
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/EngineCalls.java
@@ -29,7 +29,7 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * Sends the calls to model engines that routing commands ask for: reservations, prefills, decodes
+ * Sends the calls to model engines that routing commands request: reservations, prefills, decodes
  * and the release of reservations and KV caches. Reports the results as routing events.
  *
  * <p>Used on the event loop of the data path only.
@@ -41,6 +41,8 @@
   // Long enough for a prefill at a load peak. Capacity that stays reserved for a request that never
   // comes is wasted.
   private static final Duration MAX_RESERVATION_TTL = Duration.ofMillis(1_200);
+  // For the handle of a decode engine that processes the prompt itself. No KV cache is exported
+  // then that could expire.
   private static final Duration LOCAL_KV_TTL = Duration.ofDays(1);
   private static final int HTTP_OK = 200;
 
@@ -171,7 +173,10 @@
     }
   }
 
-  /** Frees a KV cache that a prefill engine retains. */
+  /**
+   * Frees a KV cache that a prefill engine retains. Does nothing for the handle of a decode engine,
+   * which has exported no KV cache.
+   */
   void releaseKv(KvHandle handle) {
     Instance source = fleet.instance(handle.source().value());
     if (source == null || source.stage() != EngineStage.PREFILL) {
@@ -216,7 +221,7 @@
             attempt, new EngineReservation(engine, protocol.readReservationId(response.body())));
         emit(new RoutingEvent.EngineReserved(attempt));
       } catch (IllegalArgumentException e) {
-        reportFailure("unreadable response: " + e.getMessage(), Failure.REFUSED);
+        reportFailure("unreadable: " + e.getMessage(), Failure.REFUSED);
       }
     }
 
@@ -269,7 +274,7 @@
             new RoutingEvent.PrefillFinished(
                 attempt, toKvHandle(protocol.readPrefillResponse(response.body()))));
       } catch (IllegalArgumentException e) {
-        recordFailure("unreadable prefill response: " + e.getMessage());
+        recordFailure("unreadable export: " + e.getMessage());
         releaseReservation(attempt);
         emit(new RoutingEvent.PrefillFailed(attempt, Failure.DISCONNECTED));
       }
@@ -430,24 +435,25 @@
   }
 
   /**
-   * Logs a failure to release a KV cache or a reservation. Nothing else is done, because the engine
-   * expires both after their time to live.
+   * Logs that a call to release a KV cache or a reservation ended without a complete response. The
+   * call is not retried and the status of a response is ignored, because the engine drops both
+   * after their time to live.
    */
   private static final class ReleaseResponseListener extends BufferedResponseListener {
-    private final String resourceName;
+    private final String resourceId;
     private final String engineId;
 
-    ReleaseResponseListener(String resourceName, String engineId) {
-      this.resourceName = resourceName;
+    ReleaseResponseListener(String resourceId, String engineId) {
+      this.resourceId = resourceId;
       this.engineId = engineId;
     }
 
     @Override
-    protected void responseReceived(BufferedResponse answer) {}
+    protected void responseReceived(BufferedResponse response) {}
 
     @Override
     public void failed(CallFailure failure, String reason) {
-      EventLog.log(LogEvent.KV_NOT_FREED, resourceName, engineId, reason);
+      EventLog.log(LogEvent.KV_NOT_FREED, resourceId, engineId, reason);
     }
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetManifest.java
@@ -35,11 +35,12 @@
 
 /**
  * Builds the manifest that routing decisions use from the active configuration and the registered
- * engines, and derives the request attributes that refer to it.
+ * engines. Also derives the model name, the prefix block hashes and the fingerprint of a request.
  */
 final class FleetManifest {
   // Engines allocate KV memory in blocks of a few tokens.
   private static final int KV_BLOCK_TOKENS = 16;
+  // Length of the prompt blocks whose hashes identify cached prefixes.
   private static final int PREFIX_BLOCK_TOKENS = 256;
 
   // Initial values for what the configuration does not state; routing corrects its speed estimates
@@ -48,7 +49,8 @@
   private static final Duration DEFAULT_FIRST_TOKEN_TARGET = Duration.ofMillis(900);
   private static final Duration DEFAULT_TOKEN_GAP_TARGET = Duration.ofMillis(70);
 
-  // A narrow link of 20 Mbit/s to another region; all requests of the fleet share the fraction.
+  // A narrow link of 20 Mbit/s to another region. The fraction of it that cross-region routing may
+  // use is for all requests of the fleet together.
   private static final CrossRegionLink CROSS_REGION_LINK = new CrossRegionLink(2_500_000, 0.3);
   private static final Limits LIMITS = new Limits(0.1, 0.02);
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/FleetState.java
@@ -23,13 +23,14 @@
  * The active configuration and the registered upstreams as last received from the object store,
  * with a connection pool for each upstream.
  *
- * <p>Used on the event loop of the data path only.
+ * <p>Used on the event loop of the data path only, once the node has started.
  */
 public final class FleetState {
-  // A timeout longer than the time in which a lost first packet is retransmitted within a region
-  // would be too long for callers.
+  // Callers cannot wait longer for a connection than it takes within a region to retransmit a lost
+  // first packet.
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
-  private static final Duration RECENT_USE_WINDOW = Duration.ofMillis(500);
+  // A connection that was idle for longer carries only requests that may be repeated.
+  private static final Duration MAX_IDLE_FOR_NON_REPEATABLE = Duration.ofMillis(500);
 
   private final EventLoop loop;
   private final TimerService timers;
@@ -92,7 +93,9 @@
     if (existing != null) {
       existing.pool().close();
     }
-    var pool = new UpstreamPool(loop, timers, target.address(), CONNECT_TIMEOUT, RECENT_USE_WINDOW);
+    var pool =
+        new UpstreamPool(
+            loop, timers, target.address(), CONNECT_TIMEOUT, MAX_IDLE_FOR_NON_REPEATABLE);
     pools.put(target.id(), new PooledInstance(target, pool));
     return pool;
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
@@ -25,9 +25,12 @@
 /**
  * The data path of one node: receives callers' requests, matches each with a route and passes it to
  * the handler for application requests or for generations. Also serves readiness and metrics.
+ *
+ * <p>Requests are handled on the event loop. {@link #start} and {@link #awaitDrained} are called on
+ * other threads.
  */
 public final class Gateway implements CallerHandler {
-  // The load balancer stops to send new connections after two failed readiness checks, which are a
+  // The load balancer stops sending new connections after two failed readiness checks, which are a
   // second apart.
   private static final Duration LOAD_BALANCER_REACTION_TIME = Duration.ofMillis(2_800);
   // A new node has received its configuration after a few reads of the store.
@@ -95,11 +98,11 @@
   }
 
   /**
-   * Starts to listen for callers, for the readiness checks of the load balancer and for metrics.
+   * Starts listening for callers, for the readiness checks of the load balancer and for metrics.
    */
   public void start() {
     fleet.onChange(this::onFleetChange);
-    generationHandler.start();
+    generationHandler.startPeers();
     callerServer.start();
     readinessServer.start();
     if (metricsServer != null) {
@@ -129,10 +132,10 @@
     callerServer.drain();
     peers.leave();
     timers.schedule(LOAD_BALANCER_REACTION_TIME, callerServer::closeIdle);
-    timers.schedule(LOAD_BALANCER_REACTION_TIME, this::awaitOpenRequests);
+    timers.schedule(LOAD_BALANCER_REACTION_TIME, this::pollOpenRequests);
   }
 
-  private void awaitOpenRequests() {
+  private void pollOpenRequests() {
     callerServer.closeIdle();
     long elapsed = timers.nanos() - drainStartNanos;
     boolean graceOver = elapsed >= settings.gracePeriod().minus(GRACE_PERIOD_MARGIN).toNanos();
@@ -140,7 +143,7 @@
       // Leaves time to write the last responses to their connections.
       timers.schedule(DRAIN_POLL_INTERVAL, drained::countDown);
     } else {
-      timers.schedule(DRAIN_POLL_INTERVAL, this::awaitOpenRequests);
+      timers.schedule(DRAIN_POLL_INTERVAL, this::pollOpenRequests);
     }
   }
 
@@ -178,19 +181,19 @@
     requestCount++;
     GatewayConfiguration c = fleet.configuration();
     if (c == null) {
-      reject(caller, ErrorCode.NOT_READY, "no configuration has been received yet");
+      reject(caller, ErrorCode.NOT_READY, "no configuration is known yet");
       return;
     }
     String host = caller.head().headers().get(HttpHeaderNames.HOST, "");
     GatewayRoute route = c.findRoute(host, caller.head().uri());
     if (route == null) {
-      reject(caller, ErrorCode.UNKNOWN_ROUTE, "no route matches this host and path");
+      reject(caller, ErrorCode.UNKNOWN_ROUTE, "no route for this host and path");
       return;
     }
     GatewayService service = c.findService(route.selectService(random.nextDouble()));
     RequestMetadata metadata = readMetadata(caller);
     if (metadata == null || service == null) {
-      reject(caller, ErrorCode.INVALID_ARGUMENT, "a required header cannot be parsed");
+      reject(caller, ErrorCode.INVALID_ARGUMENT, "a header can't be read");
       return;
     }
     var exchange =
@@ -215,7 +218,7 @@
    * because later attempts state a shorter time.
    */
   private Duration firstAttemptTimeout(GatewayRoute route, RequestMetadata metadata) {
-    Long statedMillis = metadata.deadlineMillis();
+    Long statedMillis = metadata.timeoutMillis();
     long millis = statedMillis == null ? 0 : statedMillis;
     return Duration.ofMillis(firstAttemptTimeoutMillis.merge(route.name(), millis, Math::max));
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GatewayMetrics.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GatewayMetrics.java
@@ -25,7 +25,7 @@
   private final Timer longestPauseTimer =
       histogram("mustardlatch.stream.longest.pause").register(registry);
 
-  /** Creates a registry with all counters at zero. */
+  /** Creates metrics without recorded values. */
   public GatewayMetrics() {}
 
   /** Returns all metrics in the Prometheus text format. */
@@ -69,7 +69,7 @@
         .record(Duration.ofNanos(nanos));
   }
 
-  /** Counts an application of a routing rule. */
+  /** Counts a routing decision by the rule that made it. */
   void countDecision(String rule) {
     count("mustardlatch.decisions", "rule", rule);
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationRequestHandler.java
@@ -26,7 +26,7 @@
  * Handles generation requests: passes them and the results of engine calls to the {@link
  * NodeRouter} as events and executes the commands that it emits.
  *
- * <p>Used on the event loop of the data path only.
+ * <p>Used on the event loop of the data path only, once the node has started.
  */
 final class GenerationRequestHandler {
   /** Workspace of requests that can still get their first token within the latency target. */
@@ -45,7 +45,7 @@
   // A late request waits for spare capacity for this multiple of the latency target, and is refused
   // after that.
   private static final double LATE_REQUEST_WAIT_FACTOR = 2;
-  private static final double AVERAGE_OUTPUT_IN_MEMORY = 0.5;
+  private static final double AVERAGE_OUTPUT_FRACTION_IN_MEMORY = 0.5;
   // Length hints of callers are often far off, so the estimate is a weighted mean of the hint and
   // the average hint.
   private static final double HINT_WEIGHT = 0.66;
@@ -89,8 +89,8 @@
     this.runner = new PolicyRunner(timers, router, this::executeCommand);
   }
 
-  /** Starts to join the fleet of peers. */
-  void start() {
+  /** Starts to join the fleet and passes the events of peers to the router. */
+  void startPeers() {
     peers.start(runner::handle);
   }
 
@@ -152,7 +152,8 @@
 
   /**
    * Returns the number of output tokens to plan KV memory for. Outputs grow while they are
-   * generated, so on average half of each output is in memory.
+   * generated, so on average half of each output is in memory. Without a length hint, returns the
+   * maximum output.
    */
   private int plannedOutputTokens(RequestMetadata metadata) {
     if (metadata.lengthHint() <= 0) {
@@ -162,7 +163,10 @@
     averageLengthHint = average + HINT_SMOOTHING_FACTOR * (metadata.lengthHint() - average);
     double expected = HINT_WEIGHT * metadata.lengthHint() + (1 - HINT_WEIGHT) * average;
     return (int)
-        Math.clamp(expected * AVERAGE_OUTPUT_IN_MEMORY, 1, Math.max(1, metadata.maxOutputTokens()));
+        Math.clamp(
+            expected * AVERAGE_OUTPUT_FRACTION_IN_MEMORY,
+            1,
+            Math.max(1, metadata.maxOutputTokens()));
   }
 
   /**
--- a/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/GenerationStream.java
@@ -15,7 +15,10 @@
   final SseEventSplitter events = new SseEventSplitter();
   final StreamTiming timing;
 
-  /** The last error response of an upstream; null if there was none. */
+  /**
+   * The last error response to a decode, except refusals. Null if there was none, or if a later
+   * response was a success without the stamp of an upstream, which must not reach the caller.
+   */
   @Nullable BufferedResponse lastErrorResponse;
 
   GenerationStream(RoutedExchange exchange) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/NoPeers.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/NoPeers.java
@@ -9,7 +9,8 @@
 
 /**
  * The {@link Peers} of a standalone node, which is the admitting node of all cells of its region. A
- * cell is the engines of one model in one region.
+ * cell is the engines of one model in one region; its admitting node is the one node that admits
+ * work to it.
  */
 public final class NoPeers implements Peers {
   private final Member self;
--- a/gateway/src/main/java/org/mustardlatch/gateway/Peers.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Peers.java
@@ -13,7 +13,7 @@
    * Starts to join the fleet.
    *
    * @param events receives changes of the members and messages of peers, on the event loop of the
-   *     data path
+   *     data path or, before this method returns, on the calling thread
    */
   void start(Consumer<RoutingEvent> events);
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/RequestMetadata.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RequestMetadata.java
@@ -7,7 +7,8 @@
  * The data that routing needs from the headers of a caller's request.
  *
  * @param requestId the caller's id of this attempt; null if the header is absent
- * @param deadlineMillis how long the caller waits, milliseconds; null if the header is absent
+ * @param timeoutMillis how long the caller waits for the response, milliseconds; null if the header
+ *     is absent
  * @param promptTokens length of the prompt, tokens
  * @param maxOutputTokens maximum number of tokens to generate
  * @param lengthHint number of tokens that the caller expects to be generated; 0 if not stated
@@ -15,7 +16,7 @@
  */
 public record RequestMetadata(
     @Nullable String requestId,
-    @Nullable Long deadlineMillis,
+    @Nullable Long timeoutMillis,
     int promptTokens,
     int maxOutputTokens,
     int lengthHint,
--- a/gateway/src/main/java/org/mustardlatch/gateway/RetryLimits.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RetryLimits.java
@@ -9,8 +9,8 @@
   // Each node gets an equal share of the fleet's extra retries. A node that sees few others may be
   // partitioned from the rest, so it assumes a fleet of at least this size.
   private static final int MIN_NODES = 10;
-  // Callers respect a Retry-After time of up to a third of their remaining time. A
-  // divisor of 3.2 stays below that limit.
+  // Callers respect a Retry-After time of up to a third of their remaining time. A divisor of 3.2
+  // stays below that limit.
   private static final double REMAINING_TIME_DIVISOR = 3.2;
   private static final long MIN_RETRY_AFTER_MILLIS = 20;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/RoutedExchange.java
@@ -56,7 +56,7 @@
     this.metrics = metrics;
     this.protocol = protocol;
     long timeoutMillis = route.timeout().toMillis();
-    Long statedMillis = metadata.deadlineMillis();
+    Long statedMillis = metadata.timeoutMillis();
     if (statedMillis != null) {
       timeoutMillis = Math.min(timeoutMillis, Math.max(1, statedMillis));
     }
@@ -138,9 +138,14 @@
     return id == null || id.equals(metadata.requestId());
   }
 
-  /** Sends an upstream's complete response to the caller. */
-  void sendResponse(BufferedResponse response, String upstream) {
-    recordOutcome("delivered", upstream, response.status());
+  /**
+   * Sends an upstream's complete response to the caller.
+   *
+   * @param detail for the log: the id of the upstream, or "last_server_error" for the error
+   *     response of an earlier attempt
+   */
+  void sendResponse(BufferedResponse response, String detail) {
+    recordOutcome("delivered", detail, response.status());
     caller.sendResponse(response.head().status(), response.head().headers(), response.body());
   }
 
@@ -166,7 +171,8 @@
 
   /**
    * Returns the HTTP status of an error. A status that implies that the request was not executed is
-   * only used if every upstream that got the request stated so.
+   * only used if every upstream that got the request stated so. If so, any error of the 5xx class
+   * gets the status of {@link ErrorCode#UPSTREAM_UNAVAILABLE}.
    */
   private int statusFor(ErrorCode code) {
     int status = code.httpStatus();
--- a/gateway/src/main/java/org/mustardlatch/gateway/SseEventSplitter.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/SseEventSplitter.java
@@ -7,9 +7,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Splits a stream of server-sent events at event boundaries and records the id of the last event.
- * Only complete events are forwarded, so that a stream resumed on another engine never contains a
- * part of an event.
+ * Splits a stream of server-sent events at event boundaries and records the last event id. Until
+ * the stream ends, only complete events are forwarded, so that a stream resumed on another engine
+ * never contains a part of an event.
  */
 final class SseEventSplitter {
   private static final byte LINE_FEED = '\n';
--- a/gateway/src/test/java/org/mustardlatch/gateway/DataPathTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/DataPathTest.java
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void sendsAnIdempotentRequestToAnotherUpstreamWhenAKeptConnectionStopsResponding()
+  void sendsAnIdempotentRequestToAnotherUpstreamWhenAKeptAliveConnectionStopsResponding()
       throws Exception {
     gateway.addApplication("one", firstUpstream);
     firstUpstream.respondToNextRequest(OK_RESPONSE);
--- a/gateway/src/test/java/org/mustardlatch/gateway/TestProtocol.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/TestProtocol.java
@@ -12,14 +12,17 @@
 import org.mustardlatch.gateway.config.Instance;
 import org.mustardlatch.gateway.http.CallRequest;
 
-/** A {@link PlatformProtocol} with plain headers for tests. */
+/**
+ * A {@link PlatformProtocol} for tests. Id is the id of the request, Mark the stamp of an upstream,
+ * Not-Run the statement that the request was not executed and After the event to resume after.
+ */
 final class TestProtocol implements PlatformProtocol {
   @Override
   public RequestMetadata readRequest(HttpHeaders headers) {
-    String deadline = headers.get("Wait");
+    String timeout = headers.get("Wait");
     return new RequestMetadata(
         headers.get("Id"),
-        deadline == null ? null : Long.parseLong(deadline),
+        timeout == null ? null : Long.parseLong(timeout),
         headers.getInt("Prompt", 100),
         100,
         0,
