--- a/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Attempt.java
@@ -12,13 +12,19 @@
  * of the reservation. All times are monotonic nanoseconds of this node.
  */
 final class Attempt {
-  /** Stage of an attempt, in the order in which an attempt passes through them. */
+  /**
+   * Progress of an attempt. Every state from {@link #RESERVING} on implies a granted reservation.
+   * An attempt that reuses a KV cache skips {@link #RESERVING} and {@link #PREFILL}; {@link
+   * #RESERVING} is also skipped if the engines do not reserve. The names appear in explanations.
+   */
   enum State {
     /** A reservation was requested from an admitting node, which has not responded. */
     ASKING,
     /** The admitting node has queued the reservation request. */
     QUEUED,
-    /** The decode engine was requested to reserve a slot and memory. */
+    /**
+     * The reservation was granted; a slot and memory were also requested from the decode engine.
+     */
     RESERVING,
     /** The prefill engine is processing the prompt. */
     PREFILL,
@@ -34,7 +40,7 @@
   /** KV cache of an earlier attempt that this one reuses; null if it starts with a prefill. */
   final @Nullable KvHandle inheritedKv;
 
-  /** Nodes that received a reservation request and may have granted it. */
+  /** Nodes to which a reservation request was sent; each may have granted it. */
   final List<HostId> contactedNodes = new ArrayList<>();
 
   State state = State.ASKING;
@@ -60,15 +66,15 @@
   /** Time of the grant. */
   long grantedNanos;
 
-  /** Time at which the reservation expires unless it is renewed. */
-  long validUntilNanos;
+  /** Time at which the reservation expires if it is never renewed. Renewals do not change it. */
+  long initialExpiryNanos;
 
   /** Time of the last renewal, or of the grant before the first renewal. */
   long lastRenewalNanos;
 
   /**
-   * Whether the reservation was renewed during the current prefill because it is late, or during
-   * the current decode as a result of a progress check.
+   * Whether the reservation was renewed in the current stage: in a prefill because the prefill is
+   * late, in a decode after a progress check. The time of the next check or renewal depends on it.
    */
   boolean renewedInStage;
 
@@ -93,7 +99,7 @@
     this.inheritedKv = inheritedKv;
   }
 
-  /** Changes the state and resets the time of the last progress. */
+  /** Changes the state, which counts as progress. */
   void enterState(State next, long now) {
     state = next;
     stateSinceNanos = now;
@@ -102,7 +108,7 @@
 
   /** Returns the predicted duration from the grant to the first token, nanoseconds. */
   long predictedFirstTokenNanos() {
-    return Math.max(0, validUntilNanos - grantedNanos - CellAdmission.GRANT_MARGIN_NANOS);
+    return Math.max(0, initialExpiryNanos - grantedNanos - CellAdmission.GRANT_MARGIN_NANOS);
   }
 
   /** Returns whether an admitting node has granted a reservation. */
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDeadlines.java
@@ -2,7 +2,10 @@
 
 import org.mustardlatch.core.model.RegionId;
 
-/** Timeouts of the stages of an attempt. Times are monotonic nanoseconds of this node. */
+/**
+ * Computes the deadline of an attempt in each of its states, and the time of its next check. Times
+ * are monotonic nanoseconds of this node.
+ */
 final class AttemptDeadlines {
   // An admitting node of this region responds within a millisecond; one that exceeds the timeout is
   // dead or unreachable.
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptDriver.java
@@ -103,8 +103,9 @@
   }
 
   /**
-   * Returns the time left for the next token, nanoseconds. A continued stream gets the full
-   * first-token target of the model again.
+   * Returns how long the cell may take to produce its first token, nanoseconds: the time left until
+   * the first-token deadline, less the delay of another region. A continued stream has met that
+   * deadline and gets the full first-token target of the model again.
    */
   private long firstTokenBudgetNanos(EntryRequest q, Attempt a) {
     long now = commands.now();
@@ -115,7 +116,7 @@
     return q.request.firstTokenDeadlineNanos() - now - crossRegionDelay.delayNanos(a.cell);
   }
 
-  /** Records the response time of an admitting node to the last reservation request. */
+  /** Records the response time of an admitting node, unless the attempt is queued there already. */
   void recordResponse(Attempt a) {
     if (a.state == Attempt.State.ASKING) {
       crossRegionDelay.recordResponse(a.cell, commands.now() - a.lastRequestNanos);
@@ -132,7 +133,7 @@
     a.prefillEngine = grant.prefill();
     a.decodeEngine = grant.decode();
     a.grantedNanos = now;
-    a.validUntilNanos = now + grant.validNanos();
+    a.initialExpiryNanos = now + grant.validNanos();
     a.lastRenewalNanos = now;
     for (HostId host : a.contactedNodes) {
       if (!host.equals(from)) {
@@ -216,7 +217,10 @@
     }
   }
 
-  /** Releases the reservation of an attempt that has no upstream work any more. */
+  /**
+   * Releases the reservation of an attempt that has no upstream work any more, or withdraws its
+   * reservation requests if none was granted.
+   */
   void releaseReservation(Attempt a, Outcome outcome) {
     UpstreamId upstream = a.state == Attempt.State.PREFILL ? a.prefillEngine : a.decodeEngine;
     if (a.admittingNode != null && upstream != null) {
@@ -233,7 +237,10 @@
     }
   }
 
-  /** Releases a grant that is not used, such as a late or second one. */
+  /**
+   * Releases a grant that is not used: its attempt has ended, another node granted the reservation
+   * first, or an engine of the grant is leaving.
+   */
   void declineGrant(HostId from, ReserveGranted grant) {
     commands.send(
         from,
@@ -242,24 +249,24 @@
   }
 
   /**
-   * Moves an attempt to the current admitting node of its cell: repeats the reservation request, or
-   * renews the reservation, at that node.
+   * Moves an attempt to the current admitting node of its cell if that changed: sends the
+   * reservation request, or a renewal of the granted reservation, to that node.
    */
   void updateAdmittingNode(EntryRequest q, Attempt a) {
-    List<HostId> owners = topology.admittingNodes(a.cell);
-    if (owners.isEmpty()) {
+    List<HostId> admittingNodes = topology.admittingNodes(a.cell);
+    if (admittingNodes.isEmpty()) {
       return;
     }
-    HostId owner = owners.getFirst();
+    HostId currentNode = admittingNodes.getFirst();
     if (!a.granted()) {
       a.contactedNodes.removeIf(h -> topology.member(h) == null);
-      if (!a.contactedNodes.contains(owner)) {
-        a.contactedNodes.add(owner);
+      if (!a.contactedNodes.contains(currentNode)) {
+        a.contactedNodes.add(currentNode);
         a.enterState(Attempt.State.ASKING, commands.now());
-        sendReservationRequest(q, a, owner);
+        sendReservationRequest(q, a, currentNode);
       }
-    } else if (!owner.equals(a.admittingNode)) {
-      a.admittingNode = owner;
+    } else if (!currentNode.equals(a.admittingNode)) {
+      a.admittingNode = currentNode;
       renewReservation(q, a, stage(a));
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -91,10 +91,10 @@
       callbacks.refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
       return;
     }
-    SuspicionLevel standing = evidence.suspicionLevel(q.request.fingerprint(), now);
-    if (standing == SuspicionLevel.QUARANTINED) {
+    SuspicionLevel suspicionLevel = evidence.suspicionLevel(q.request.fingerprint(), now);
+    if (suspicionLevel == SuspicionLevel.QUARANTINED) {
       refuseQuarantined(q);
-    } else if (standing == SuspicionLevel.SUSPECT && !q.suspectRunPermitted) {
+    } else if (suspicionLevel == SuspicionLevel.SUSPECT && !q.suspectRunPermitted) {
       requestPermission(q);
     } else {
       startLocally(q);
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Starts an attempt in a local cell. Prefers another region if the local cell has no prefill
-   * engine.
+   * Starts an attempt in a cell of this region. Prefers another region if that cell has no prefill
+   * engine, and falls back to it if no local cell is left.
    */
   private void startLocally(EntryRequest q) {
     Cell cell = cellChooser.chooseLocal(topology, q.request.model(), q.refusedCells);
@@ -184,12 +184,16 @@
     }
   }
 
-  /** Requests the permission to run a suspect from an owner of its fingerprint. */
+  /**
+   * Requests the permission to run a suspect from an owner of its fingerprint, a node that
+   * rendezvous hashing selects to grant these permissions.
+   */
   void requestPermission(EntryRequest q) {
     q.awaitsPermission = true;
     List<HostId> owners = evidenceCoordinator.ownersOf(q.request.fingerprint());
     if (owners.isEmpty() || q.permissionRequests >= MAX_PERMISSION_REQUESTS) {
-      // No owner responded. The admitting node still runs suspects apart from other requests.
+      // No owner exists or none responded. The admitting node still runs suspects apart from other
+      // requests.
       startPermitted(q);
       return;
     }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellChooser.java
@@ -91,7 +91,10 @@
         : cells.stream().filter(c -> !refused.contains(c.name())).toList();
   }
 
-  /** Chooses the cell with the lower load score of two random cells. */
+  /**
+   * Returns the less loaded of two random cells. The first one is chosen only if it has an
+   * admitting node.
+   */
   private @Nullable Cell betterOfTwo(Topology topology, List<Cell> cells) {
     if (cells.size() <= 1) {
       return cells.isEmpty() ? null : cells.getFirst();
@@ -101,7 +104,7 @@
     return loadScore(a) <= loadScore(b) && !topology.admittingNodes(a).isEmpty() ? a : b;
   }
 
-  /** Returns a score that is lower for a cell with free slots and a short wait. */
+  /** Returns a score that is lower for free slots and a short wait, and 0 without a summary. */
   private double loadScore(Cell cell) {
     TimedSummary s = summaries.get(cell.name());
     if (s == null) {
--- a/core/src/main/java/org/mustardlatch/core/routing/CommandCollector.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CommandCollector.java
@@ -9,8 +9,9 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /**
- * Collects the commands that the event in progress leads to, and supplies its time to all parts of
- * the node's routing decisions. Messages that a node sends to itself are queued here.
+ * Passes the commands of all parts of a {@link NodeRouter} to the receiver of the event in
+ * progress, and supplies the time of that event. Messages of the node to itself are queued here
+ * until the event has been handled.
  */
 final class CommandCollector {
   private final HostId self;
--- a/core/src/main/java/org/mustardlatch/core/routing/DecodeProgressMonitor.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/DecodeProgressMonitor.java
@@ -42,7 +42,7 @@
     boolean slow = sinceLastCheck > SLOW_GAP_FACTOR * gap * Math.max(1, newTokens);
     a.tokensAtLastCheck = q.tokensSent;
     a.lastCheckNanos = now;
-    // The admitting node is notified at once when an engine becomes slow or recovers.
+    // A slow decode is reported at every check, and its recovery at once.
     long renewalInterval = a.renewedInStage ? RENEWAL_INTERVAL_NANOS : FIRST_RENEWAL_NANOS;
     if (!slow && !a.reportedSlow && now - a.lastRenewalNanos < renewalInterval) {
       return Assessment.ON_TRACK;
--- a/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntryRequest.java
@@ -24,7 +24,10 @@
   /** Attempt in progress; null between attempts. */
   @Nullable Attempt current;
 
-  /** Second attempt in parallel to the current one, in the same or a remote cell; or null. */
+  /**
+   * Second attempt, requested because the current one has a long wait in the queue (in a remote
+   * cell) or a late prefill (in the same cell); or null.
+   */
   @Nullable Attempt hedge;
 
   /** Whether the request waits for the permission to run as a suspect. */
@@ -122,7 +125,7 @@
   }
 
   /** Returns the state of the current attempt for explanations. */
-  String stageName() {
+  String stateName() {
     return current == null ? "no attempt" : current.state.toString();
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -132,7 +132,7 @@
       case RoutingEvent.DecodeFinished e -> requestCoordinator.decodeFinished(e.attempt());
       case RoutingEvent.DecodeFailed e -> requestCoordinator.decodeFailed(e.attempt(), e.failure());
       case RoutingEvent.LoadReported e -> loadReported(e);
-      case RoutingEvent.HeldAttemptsListed e -> {
+      case RoutingEvent.AttemptsListed e -> {
         admissionController.attemptsListed(e.upstream(), e.attempts());
         orphanSweeper.cancelOrphans(e.upstream(), e.attempts(), requestCoordinator, incarnation);
       }
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyRunner.java
@@ -34,7 +34,10 @@
     this.commands = commands;
   }
 
-  /** Passes an event to the policy and executes the commands that it emits. */
+  /**
+   * Passes an event to the policy and executes the commands that it emits. Must be called on the
+   * thread of the timer service.
+   */
   public void handle(RoutingEvent event) {
     List<RoutingCommand> emitted = new ArrayList<>();
     policy.handle(event, timers.nanos(), emitted::add);
--- a/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RequestCoordinator.java
@@ -26,7 +26,8 @@
 /**
  * Coordinates the requests of this node's callers, from arrival to the single final response.
  * {@link NodeRouter} passes it the responses of admitting nodes, events of upstream calls and
- * timers; it decides about retries, hedges and refusals.
+ * timers; it decides about retries, hedges and refusals. The methods below are in the order of
+ * responses, upstream events, timers, and the ways in which requests end or restart.
  */
 final class RequestCoordinator implements AttemptStarter.RequestCallbacks {
   static final String TIMER_KIND = "request";
@@ -144,12 +145,12 @@
   void callerDisconnected(RequestId id) {
     EntryRequest q = requests.get(id);
     if (q != null) {
-      commands.explain(id, "caller_gone", "cancelled in " + q.stageName());
+      commands.explain(id, "caller_gone", "cancelled in " + q.stateName());
       closeRequest(q, Outcome.CANCELLED);
     }
   }
 
-  /** Cancels the other attempt if its reservation has not been granted. */
+  /** Cancels the other attempt if it has no grant, and counts acquired remote bytes as spent. */
   private void cancelOtherReservationRequest(EntryRequest q, Attempt granted) {
     Attempt other = granted == q.current ? q.hedge : q.current;
     if (other != null && !other.granted()) {
@@ -429,14 +430,15 @@
     }
   }
 
+  /** Reports a crash if the admitting node, which reports it otherwise, is not live. */
   private void reportCrash(
       EntryRequest q, Attempt a, @Nullable UpstreamId upstream, Failure failure) {
     if (failure != Failure.CRASHED) {
       return;
     }
     q.suspectRunPermitted = false;
-    boolean admitterAlive = a.admittingNode != null && topology.member(a.admittingNode) != null;
-    if (upstream != null && !admitterAlive) {
+    boolean admittingNodeLive = a.admittingNode != null && topology.member(a.admittingNode) != null;
+    if (upstream != null && !admittingNodeLive) {
       evidenceCoordinator.engineCrashed(upstream, List.of(q.request.fingerprint()));
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/RetryAfterJitter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RetryAfterJitter.java
@@ -18,7 +18,8 @@
   }
 
   /**
-   * Returns the duration after which the caller may send the request again.
+   * Returns the duration after which the caller may send the request again. Only the ratio of the
+   * parameters matters; 2 and 1 stand for twice the acceptable wait.
    *
    * @param waitNanos predicted wait of the refused request, nanoseconds
    * @param budgetNanos longest acceptable wait, nanoseconds
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingCommand.java
@@ -32,7 +32,10 @@
   /** Cancel an attempt on an upstream; repeated until the upstream acknowledges it. */
   record CancelAttempt(AttemptId attempt, UpstreamId upstream) implements RoutingCommand {}
 
-  /** Cancel an attempt that an engine runs for a node incarnation that no longer exists. */
+  /**
+   * Cancel an attempt that an engine runs for a node incarnation that no longer exists, or that its
+   * node no longer tracks.
+   */
   record CancelOrphanedAttempt(ReportedAttempt attempt, UpstreamId upstream)
       implements RoutingCommand {}
 
@@ -53,7 +56,10 @@
   /** End the caller's stream successfully. */
   record Complete(RequestId request) implements RoutingCommand {}
 
-  /** Deliver {@link RoutingEvent.TimerFired} at a monotonic time; replaces an earlier timer. */
+  /**
+   * Deliver {@link RoutingEvent.TimerFired} at a monotonic time; replaces an earlier timer with the
+   * same key.
+   */
   record SetTimer(TimerKey key, long atNanos) implements RoutingCommand {}
 
   /** Cancel a timer. */
--- a/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/RoutingEvent.java
@@ -44,10 +44,10 @@
   record LoadReported(UpstreamId upstream, LoadReport report) implements RoutingEvent {}
 
   /** An engine listed the attempts that it has work or a KV cache for. */
-  record HeldAttemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts)
+  record AttemptsListed(UpstreamId upstream, List<ReportedAttempt> attempts)
       implements RoutingEvent {
     /** Copies the list. */
-    public HeldAttemptsListed {
+    public AttemptsListed {
       attempts = List.copyOf(attempts);
     }
   }
--- a/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/FleetSimulation.java
@@ -37,7 +37,7 @@
     }
   }
 
-  /** A node process. */
+  /** A simulated node. Events that arrive during a pause wait until it ends. */
   final class Node {
     final int number;
     final HostId host;
@@ -240,11 +240,11 @@
     for (Node n : nodes) {
       for (UpstreamId u : n.crashed ? List.<UpstreamId>of() : n.router.admittedEngines()) {
         Engine e = engineOf(u);
-        List<ReportedAttempt> held = new ArrayList<>();
+        List<ReportedAttempt> attempts = new ArrayList<>();
         e.workByAttempt.forEach(
-            (a, w) -> held.add(new ReportedAttempt(a.toString(), w.owner.host, w.incarnation)));
-        n.deliver(new RoutingEvent.HeldAttemptsListed(u, held));
-        n.deliver(new RoutingEvent.LoadReported(u, new LoadReport(held.size(), 0, 100, false)));
+            (a, w) -> attempts.add(new ReportedAttempt(a.toString(), w.owner.host, w.incarnation)));
+        n.deliver(new RoutingEvent.AttemptsListed(u, attempts));
+        n.deliver(new RoutingEvent.LoadReported(u, new LoadReport(attempts.size(), 0, 100, false)));
       }
     }
     runAfter(2 * SECOND, this::reportEngines);
@@ -314,6 +314,7 @@
     }
   }
 
+  /** Adds work to an engine and returns the engine, or reports a refusal and returns null. */
   private @Nullable Engine acceptWork(Node node, AttemptId attempt, UpstreamId upstream) {
     Engine e = engineOf(upstream);
     if (nowNanos > e.leavingSinceNanos + 5 * SECOND) {
--- a/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/NodeRouterTest.java
@@ -274,12 +274,12 @@
             List.of(Fixtures.member(0, OSLO), Fixtures.member(1, OSLO))));
     ReportedAttempt old = new ReportedAttempt("x.1", removedHost, 0);
     ReportedAttempt live = new ReportedAttempt("y.1", removedHost, 1);
-    handle(new RoutingEvent.HeldAttemptsListed(new UpstreamId("d0"), List.of(old, live)));
+    handle(new RoutingEvent.AttemptsListed(new UpstreamId("d0"), List.of(old, live)));
     assertThat(commandsOfType(RoutingCommand.CancelOrphanedAttempt.class))
         .containsExactly(new RoutingCommand.CancelOrphanedAttempt(old, new UpstreamId("d0")));
 
     handle(new RoutingEvent.MembersChanged(List.of(Fixtures.member(0, OSLO))));
-    handle(new RoutingEvent.HeldAttemptsListed(new UpstreamId("d0"), List.of(live)));
+    handle(new RoutingEvent.AttemptsListed(new UpstreamId("d0"), List.of(live)));
     assertThat(commandsOfType(RoutingCommand.CancelOrphanedAttempt.class)).hasSize(2);
   }
 
@@ -319,8 +319,8 @@
 
   @Test
   void contactsTheOtherRegionWhenItsOwnHasNoCell() {
-    NodeRouter remote = bergenNode(Fixtures.enginePools(2, 2));
-    remote.handle(
+    NodeRouter bergen = bergenNode(Fixtures.enginePools(2, 2));
+    bergen.handle(
         new RoutingEvent.RequestArrived(Fixtures.request("r1", 2000, now)), now, commands::add);
 
     assertThat(lastCommandOfType(RoutingCommand.SendPeerMessage.class).to())
@@ -375,11 +375,11 @@
 
   @Test
   void refusesRequestsBeyondTheCrossRegionByteBudget() {
-    NodeRouter remote = bergenNode(Fixtures.enginePools(2, 2));
+    NodeRouter bergen = bergenNode(Fixtures.enginePools(2, 2));
     for (int i = 0; i < 6; i++) {
       // Each request has 120 kB; the budget of the region is 500 kB per second.
       GenerationRequest r = Fixtures.request("r" + i, 30_000, now);
-      remote.handle(new RoutingEvent.RequestArrived(r), now, commands::add);
+      bergen.handle(new RoutingEvent.RequestArrived(r), now, commands::add);
     }
     assertThat(commandsOfType(RoutingCommand.Refuse.class)).hasSize(2);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -118,7 +118,7 @@
     if (list.isObject()) {
       List<ReportedAttempt> held = new ArrayList<>();
       list.path("attempts").forEach(item -> addHeld(held, item));
-      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), held));
+      events.accept(new RoutingEvent.AttemptsListed(host.id(), held));
     }
   }
 
--- a/replay/src/main/java/org/mustardlatch/replay/BaselinePolicy.java
+++ b/replay/src/main/java/org/mustardlatch/replay/BaselinePolicy.java
@@ -73,7 +73,7 @@
       case RoutingEvent.DecodeStarted e -> {}
       case RoutingEvent.EngineReserved e -> {}
       case RoutingEvent.EngineReservationFailed e -> {}
-      case RoutingEvent.HeldAttemptsListed e -> {}
+      case RoutingEvent.AttemptsListed e -> {}
       case RoutingEvent.PeerMessageReceived e -> {}
       case RoutingEvent.MembersChanged e -> {}
       case RoutingEvent.DrainRequested e -> {}
--- a/replay/src/main/java/org/mustardlatch/replay/DecisionTimes.java
+++ b/replay/src/main/java/org/mustardlatch/replay/DecisionTimes.java
@@ -18,7 +18,7 @@
     switch (event) {
       case RoutingEvent.TokensArrived e -> upkeepNanos += nanos;
       case RoutingEvent.LoadReported e -> upkeepNanos += nanos;
-      case RoutingEvent.HeldAttemptsListed e -> upkeepNanos += nanos;
+      case RoutingEvent.AttemptsListed e -> upkeepNanos += nanos;
       case RoutingEvent.ManifestApplied e -> upkeepNanos += nanos;
       case RoutingEvent.TimerFired e -> upkeepNanos += nanos;
       case RoutingEvent.MembersChanged e -> upkeepNanos += nanos;
--- a/replay/src/main/java/org/mustardlatch/replay/ReplayDriver.java
+++ b/replay/src/main/java/org/mustardlatch/replay/ReplayDriver.java
@@ -112,7 +112,7 @@
   private void listHeld() {
     for (FakeEngine e : engines.values()) {
       if (e.isAlive()) {
-        tellReachable(e, new RoutingEvent.HeldAttemptsListed(e.upstream().id(), e.held()));
+        tellReachable(e, new RoutingEvent.AttemptsListed(e.upstream().id(), e.held()));
       }
     }
   }
