--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -124,7 +124,7 @@
     if (list.isObject()) {
       List<ReportedAttempt> attempts = new ArrayList<>();
       list.path("attempts").forEach(item -> addReportedAttempt(attempts, item));
-      events.accept(new RoutingEvent.HeldAttemptsListed(host.id(), attempts));
+      events.accept(new RoutingEvent.AttemptsListed(host.id(), attempts));
     }
   }
 
