--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -60,7 +60,8 @@
     GenerationInput input = GenerationInputParser.parse(body, chat, activeManifest);
     try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
       GenerationRequest request = createRequest(id, workspace, input, body.length, activeManifest);
-      routeAndRespond(ctx, new GenerationExchange(request, input, new ResponseSink(metrics.staleChunks())));
+      routeAndRespond(
+          ctx, new GenerationExchange(request, input, new ResponseSink(metrics.staleChunks())));
     }
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
@@ -63,7 +63,8 @@
       throws InterruptedException {
     String key = requireKey(ctx.header(KEY_HEADER));
     long deadlineNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
-    KeyedRequestHandle call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
+    KeyedRequestHandle call =
+        ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
     @Nullable Responded ownResponse = null;
     if (awaitDispatchPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
       ApplicationResult result =
@@ -121,7 +122,8 @@
 
   private static DispatchOutcome toDispatchOutcome(ApplicationResult result) {
     return switch (result) {
-      case Responded a -> new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
+      case Responded a ->
+          new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
       case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
       case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
@@ -145,11 +147,12 @@
    * Waits until the ledger decides whether the request may be dispatched. Returns false if it must
    * not be dispatched or the caller has disconnected.
    */
-  private static boolean awaitDispatchPermission(KeyedRequestHandle call, CallerConnection connection)
-      throws InterruptedException {
+  private static boolean awaitDispatchPermission(
+      KeyedRequestHandle call, CallerConnection connection) throws InterruptedException {
     while (true) {
       try {
-        return call.dispatchPermitted().get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        return call.dispatchPermitted()
+            .get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
         if (connection.isClosed()) {
           call.callerDisconnected();
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -99,7 +99,8 @@
             ? options.advertised()
             : bound.getAddress().getHostAddress() + ":" + bound.getPort();
     tasks.onNext(() -> join(address));
-    tickSubscription = timers.scheduleRepeating(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
+    tickSubscription =
+        timers.scheduleRepeating(Membership.TICK_PERIOD, () -> tasks.onNext(this::tick));
     budgetTickSubscription =
         timers.scheduleRepeating(
             BudgetClient.TICK_PERIOD, () -> tasks.onNext(() -> budgets.tick(timers.nanos())));
