--- a/core/src/main/java/org/mustardlatch/core/ledger/Attempt.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/Attempt.java
@@ -6,8 +6,8 @@
  * @param key ledger key of the record
  * @param requestDigest digest of method, path and body, 1 to 64 printable ASCII characters
  * @param nonce 128 random bits that identify the attempt, 32 lower-case hexadecimal digits; the
- *     starting node keeps the nonce in memory only, so that it cannot resume the attempt after a
- *     restart
+ *     starting node keeps its list of open attempts in memory only, so that it cannot resume the
+ *     attempt after a restart
  * @param host node that starts the attempt
  * @param incarnation incarnation of that node
  */
--- a/core/src/main/java/org/mustardlatch/core/ledger/CompactRecord.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/CompactRecord.java
@@ -33,8 +33,8 @@
         r.key(), checksumOf(r.requestDigest()), r.state(), r.status(), r.changedSeconds());
   }
 
-  static String checksumOf(String request) {
-    byte[] hash = Hashing.sha256().hashString(request, UTF_8).asBytes();
+  static String checksumOf(String requestDigest) {
+    byte[] hash = Hashing.sha256().hashString(requestDigest, UTF_8).asBytes();
     return BASE64.encode(Arrays.copyOf(hash, 3));
   }
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequest.java
@@ -20,11 +20,11 @@
   private final KeyedRequestTimeouts timeouts;
 
   private Step step = Step.NEW;
-  private boolean forwarded;
+  private boolean startForwarded;
   private boolean ownerRefused;
-  private boolean startedLocally;
+  private boolean localStartRequested;
   private boolean localWriterRefused;
-  private boolean finishedLocally;
+  private boolean localFinishRequested;
   private boolean dispatched;
   private boolean responded;
   private KeyedResponse.NotRun responseAfterCancel =
@@ -84,7 +84,7 @@
     step = Step.STARTING;
     out.accept(new KeyedRequestCommand.SetTimer(KeyedRequestTimer.DEADLINE, deadlineNanos));
     if (ownedByOtherNode) {
-      forwarded = true;
+      startForwarded = true;
       out.accept(new KeyedRequestCommand.ForwardStart(attempt));
       long timeoutAtNanos = nowNanos + timeouts.forwardTimeout().toNanos();
       out.accept(
@@ -95,7 +95,7 @@
   }
 
   private void startLocally(Consumer<KeyedRequestCommand> out) {
-    startedLocally = true;
+    localStartRequested = true;
     out.accept(new KeyedRequestCommand.StartLocally(attempt));
   }
 
@@ -145,8 +145,8 @@
       Consumer<KeyedRequestCommand> out) {
     ownerRefused |= source == ResponseSource.OWNER;
     localWriterRefused |= source == ResponseSource.LOCAL;
-    boolean ownerCannotStart = !forwarded || ownerRefused;
-    boolean localWriterCannotStart = !startedLocally || localWriterRefused;
+    boolean ownerCannotStart = !startForwarded || ownerRefused;
+    boolean localWriterCannotStart = !localStartRequested || localWriterRefused;
     if (ownerCannotStart && localWriterCannotStart && !dispatched) {
       step = step == Step.STARTING ? Step.DONE : step;
       respond(new KeyedResponse.NotRun(result.code(), result.retryAfter()), out);
@@ -163,7 +163,7 @@
 
   private void cancel(long nowNanos, Consumer<KeyedRequestCommand> out) {
     step = Step.CANCELLING;
-    out.accept(new KeyedRequestCommand.CancelLocally(attempt, forwarded));
+    out.accept(new KeyedRequestCommand.CancelLocally(attempt, startForwarded));
     long timeoutAtNanos = nowNanos + timeouts.cancelTimeout().toNanos();
     out.accept(new KeyedRequestCommand.SetTimer(KeyedRequestTimer.CANCEL_TIMEOUT, timeoutAtNanos));
   }
@@ -181,8 +181,8 @@
       throw new IllegalStateException("a dispatch ended, but none is in progress: " + outcome);
     }
     switch (outcome) {
-      case DispatchOutcome.Completed a -> {
-        pendingFinish = finishRequest(RecordState.FINISHED, a);
+      case DispatchOutcome.Completed c -> {
+        pendingFinish = finishRequest(RecordState.FINISHED, c);
         finish(nowNanos, out);
       }
       case DispatchOutcome.NotSent n -> {
@@ -196,14 +196,14 @@
     }
   }
 
-  private ShardEvent.FinishRequested finishRequest(RecordState state, DispatchOutcome.Completed a) {
+  private ShardEvent.FinishRequested finishRequest(RecordState state, DispatchOutcome.Completed c) {
     return new ShardEvent.FinishRequested(
-        attempt.key(), attempt.nonce(), state, a.status(), a.response());
+        attempt.key(), attempt.nonce(), state, c.status(), c.response());
   }
 
   private void finish(long nowNanos, Consumer<KeyedRequestCommand> out) {
     step = Step.FINISHING;
-    if (forwarded && !startedLocally) {
+    if (startForwarded && !localStartRequested) {
       out.accept(new KeyedRequestCommand.ForwardFinish(pendingFinish));
       long forwardTimeoutAtNanos = nowNanos + timeouts.forwardTimeout().toNanos();
       out.accept(
@@ -227,9 +227,9 @@
       KeyedRequestTimer timer, long nowNanos, Consumer<KeyedRequestCommand> out) {
     switch (timer) {
       case FORWARD_TIMEOUT -> {
-        if (step == Step.STARTING && !startedLocally) {
+        if (step == Step.STARTING && !localStartRequested) {
           startLocally(out);
-        } else if (step == Step.FINISHING && !finishedLocally) {
+        } else if (step == Step.FINISHING && !localFinishRequested) {
           finishLocally(out);
         }
       }
@@ -254,7 +254,7 @@
   }
 
   private void finishLocally(Consumer<KeyedRequestCommand> out) {
-    finishedLocally = true;
+    localFinishRequested = true;
     out.accept(new KeyedRequestCommand.FinishLocally(pendingFinish));
   }
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestCommand.java
@@ -2,7 +2,7 @@
 
 /** Commands that a {@link KeyedRequest} emits for its {@link LedgerNode}. */
 public sealed interface KeyedRequestCommand {
-  /** Ask the owner of the shard, another node, to store the start record. */
+  /** Send the start to the owner of the shard, another node, which stores the start record. */
   record ForwardStart(Attempt attempt) implements KeyedRequestCommand {}
 
   /** Store the start record with this node's own writer of the shard. */
@@ -11,7 +11,7 @@
   /** Send the request to the application; emitted at most once. */
   record Dispatch() implements KeyedRequestCommand {}
 
-  /** Ask the owner of the shard, another node, to store the finish record. */
+  /** Send the finish to the owner of the shard, another node, which stores the finish record. */
   record ForwardFinish(ShardEvent.FinishRequested request) implements KeyedRequestCommand {}
 
   /** Store the finish record with this node's own writer of the shard. */
@@ -27,6 +27,6 @@
   /** Respond to the caller; emitted exactly once. */
   record Respond(KeyedResponse response) implements KeyedRequestCommand {}
 
-  /** Fire the timer at the given monotonic time. */
+  /** Send {@code TimerFired} with this timer at the given monotonic time. */
   record SetTimer(KeyedRequestTimer timer, long atNanos) implements KeyedRequestCommand {}
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/KeyedRequestEvent.java
@@ -24,8 +24,10 @@
   record DispatchEnded(DispatchOutcome outcome) implements KeyedRequestEvent {}
 
   /**
-   * A shard writer responded to the finish record; {@code stored} is false if the record does not
-   * belong to the attempt or was cancelled.
+   * A shard writer responded to the finish.
+   *
+   * @param stored whether the record contains the outcome; false if the attempt has no record or
+   *     its record was cancelled
    */
   record FinishResponseReceived(boolean stored) implements KeyedRequestEvent {}
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerCodec.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerCodec.java
@@ -9,7 +9,11 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Encodes and decodes the JSON form of a shard, which docs/design.md 4.4 documents. */
+/**
+ * Encodes and decodes the JSON form of a shard, which docs/design.md 4.4 documents. Its field
+ * {@code recent} contains the full records, {@code older} the compact records, and {@code answer}
+ * the response of a full record.
+ */
 final class LedgerCodec {
   private static final int FORMAT_VERSION = 1;
 
@@ -46,19 +50,20 @@
       throw new IllegalArgumentException(
           "ledger shard format must be " + FORMAT_VERSION + ", got " + node.path("format"));
     }
-    Map<LedgerKey, LedgerRecord> recent = new LinkedHashMap<>();
+    Map<LedgerKey, LedgerRecord> fullRecords = new LinkedHashMap<>();
     for (JsonNode o : node.path("recent")) {
       LedgerRecord r = decodeRecord(o);
-      recent.put(r.key(), r);
+      fullRecords.put(r.key(), r);
     }
-    Map<LedgerKey, CompactRecord> older = new LinkedHashMap<>();
+    Map<LedgerKey, CompactRecord> compactRecords = new LinkedHashMap<>();
     for (JsonNode o : node.path("older")) {
       CompactRecord r = CompactRecord.decode(o.asText());
-      older.put(r.key(), r);
+      compactRecords.put(r.key(), r);
     }
-    return new LedgerShard(recent, older);
+    return new LedgerShard(fullRecords, compactRecords);
   }
 
+  /** Returns the length of the text in UTF-8 bytes when it is escaped for JSON. */
   static int escapedLength(String text) {
     return JsonStringEncoder.getInstance().quoteAsUTF8(text).length;
   }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerLimits.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerLimits.java
@@ -23,8 +23,8 @@
   static final Duration MAX_IN_PROGRESS_TIME = Duration.ofMinutes(10);
 
   /**
-   * Writes to a shard without delay after an idle period, enough for two requests that each store a
-   * start and a finish record.
+   * Number of writes that a shard accepts without delay after an idle period: enough for two
+   * requests that each store a start and a finish record.
    */
   static final int MAX_WRITE_BURST = 4;
 
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessageTranslator.java
@@ -55,12 +55,13 @@
     };
   }
 
+  /** Returns the response to a stored finish, which also has the type {@code LedgerStarted}. */
   static LedgerStarted toFinishResponse(LedgerKey key, String nonce) {
     return new LedgerStarted(key.digest(), nonce, RecordState.FINISHED.name(), nonce, 0, null);
   }
 
   /**
-   * Converts the response of the owner of a shard into an event.
+   * Converts the response of the owner of a shard to a start or a finish into an event.
    *
    * @throws IllegalArgumentException if the state is unknown
    */
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
@@ -116,7 +116,7 @@
       case LedgerMessage.LedgerStarted m -> {
         KeyedRequestEvent event = LedgerMessageTranslator.toEvent(m);
         LedgerKey key = new LedgerKey(m.key());
-        process(clock, () -> handleStartResponse(key, m.requestedNonce(), event));
+        process(clock, () -> handleWriterResponse(key, m.requestedNonce(), event));
       }
       case LedgerMessage.LedgerFinish m -> {
         ShardEvent.FinishRequested finish = LedgerMessageTranslator.toFinishRequest(m);
@@ -235,7 +235,7 @@
     KeyedRequestEvent event =
         new KeyedRequestEvent.StartResponseReceived(ResponseSource.LOCAL, c.result());
     if (attempt.nonce().startsWith(noncePrefix)) {
-      queue.add(() -> handleStartResponse(attempt.key(), attempt.nonce(), event));
+      queue.add(() -> handleWriterResponse(attempt.key(), attempt.nonce(), event));
     } else if (!attempt.host().equals(self.value())) {
       out.send(
           new HostId(attempt.host()), LedgerMessageTranslator.toStartResponse(attempt, c.result()));
@@ -243,17 +243,19 @@
   }
 
   /**
-   * Handles a response to a start. If it reports a start record for a request of this process that
-   * is already done, the record is cancelled. Either the request was not dispatched, and the record
-   * would block its key, or its finish record is stored, and the cancellation has no effect.
+   * Handles the response of a shard writer to a start, or of the owner of a shard to a finish. If
+   * it reports a start record for a request of this process that is already done, the record is
+   * cancelled. Either the request was not dispatched, and the record would block its key, or its
+   * finish record is stored, and the cancellation has no effect.
    */
-  private void handleStartResponse(LedgerKey key, String nonce, KeyedRequestEvent event) {
+  private void handleWriterResponse(LedgerKey key, String nonce, KeyedRequestEvent event) {
     boolean started =
-        event instanceof KeyedRequestEvent.StartResponseReceived a
-            && a.result() instanceof StartResult.Started;
+        event instanceof KeyedRequestEvent.StartResponseReceived r
+            && r.result() instanceof StartResult.Started;
     if (requests.containsKey(nonce)) {
       handleRequestEvent(nonce, event);
     } else if (started && nonce.startsWith(noncePrefix)) {
+      // Digest and incarnation are placeholders, because this cancellation creates no record.
       Attempt attemptToCancel = new Attempt(key, "-", nonce, self.value(), 0);
       enqueueShardEvent(key, new ShardEvent.CancelRequested(attemptToCancel, false));
     }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerOutput.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerOutput.java
@@ -5,8 +5,8 @@
 import org.mustardlatch.core.peer.LedgerMessage;
 
 /**
- * Operations that a {@link LedgerNode} requests. An implementation must not call the node before
- * the current call of the node has returned.
+ * Operations that a {@link LedgerNode} requests. An implementation must not call the node from
+ * within these methods.
  */
 public interface LedgerOutput {
   /** Reads the shard object; the result is {@code ReadFinished} or {@code ReadFailed}. */
@@ -23,7 +23,7 @@
    */
   void setShardTimer(int shard, long atNanos);
 
-  /** Sends {@code TimerFired} to the request at the given monotonic time. */
+  /** Sends {@code TimerFired} with this timer to the request at the given monotonic time. */
   void setRequestTimer(String nonce, KeyedRequestTimer timer, long atNanos);
 
   /** Dispatches the request; called at most once per nonce. */
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerRecord.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerRecord.java
@@ -3,7 +3,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Full record of an idempotency key.
+ * Full record of an idempotency key. {@link LedgerLimits#FULL_RECORD_RETENTION} after its last
+ * change it is replaced by a {@link CompactRecord}, unless it is STARTED or CANCELLED.
  *
  * @param key ledger key of the record
  * @param requestDigest digest of method, path and body
@@ -14,7 +15,8 @@
  * @param startedSeconds wall-clock time of the start, seconds since 1970
  * @param changedSeconds wall-clock time of the last change, seconds since 1970
  * @param status HTTP status of the response; 0 if there is none
- * @param response the response as the user of the ledger encoded it; null if there is none
+ * @param response the encoded response of the application, which the ledger does not interpret;
+ *     null if there is none or it was not stored because of its size
  */
 record LedgerRecord(
     LedgerKey key,
--- a/core/src/main/java/org/mustardlatch/core/ledger/PendingChange.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/PendingChange.java
@@ -2,9 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/**
- * A requested change of one record that a {@link ShardWriter} has neither stored nor refused yet.
- */
+/** A requested change of one record to which a {@link ShardWriter} has not responded yet. */
 final class PendingChange {
   /** The requested change. */
   sealed interface Operation {
--- a/core/src/main/java/org/mustardlatch/core/ledger/RecordState.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/RecordState.java
@@ -4,14 +4,14 @@
 public enum RecordState {
   /**
    * An attempt has the key and may run now or later. Only the node that started the attempt may
-   * change the record.
+   * request a change of the record.
    */
   STARTED('S'),
   /** The attempt ran and the application responded. */
   FINISHED('F'),
   /** The attempt did not run and never will; another attempt may use the key. */
   CANCELLED('C'),
-  /** The attempt was sent, but whether it ran is unknown. */
+  /** The attempt was dispatched, but whether it ran is unknown. */
   UNKNOWN('U');
 
   private final char letter;
--- a/core/src/main/java/org/mustardlatch/core/ledger/RecordTransitions.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/RecordTransitions.java
@@ -4,7 +4,9 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.error.ErrorCode;
 
-/** Decides which changes of a record are allowed in which state of the record. */
+/**
+ * Decides which changes a record allows in its current state, and the response to the requester.
+ */
 final class RecordTransitions {
   private static final Duration FULL_SHARD_RETRY_AFTER = Duration.ofMinutes(15);
   private static final Duration CANCELLED_RETRY_AFTER = Duration.ofSeconds(1);
@@ -36,12 +38,12 @@
     }
     LedgerRecord found = editor.fullRecord(attempt.key());
     if (found != null && found.nonce().equals(attempt.nonce())) {
-      return startOfOwnRecord(attempt, found);
+      return startWithOwnRecord(attempt, found);
     }
     if (found != null && found.state() != RecordState.CANCELLED) {
-      return startOfOtherRecord(attempt, found, nowSeconds);
+      return startWithRecordOfOtherAttempt(attempt, found, nowSeconds);
     }
-    if (editor.encodedBytesWith(null) > limits.maxShardBytes()) {
+    if (editor.maxEncodedBytesWith(null) > limits.maxShardBytes()) {
       return ChangeDecision.definitive(
           startResponse(
               attempt,
@@ -51,7 +53,7 @@
     return ChangeDecision.modified(startResponse(attempt, new StartResult.Started()));
   }
 
-  private static ChangeDecision startOfOwnRecord(Attempt attempt, LedgerRecord found) {
+  private static ChangeDecision startWithOwnRecord(Attempt attempt, LedgerRecord found) {
     return ChangeDecision.definitive(
         startResponse(
             attempt,
@@ -64,7 +66,7 @@
             }));
   }
 
-  private static ChangeDecision startOfOtherRecord(
+  private static ChangeDecision startWithRecordOfOtherAttempt(
       Attempt attempt, LedgerRecord found, long nowSeconds) {
     boolean sameRequest = found.requestDigest().equals(attempt.requestDigest());
     boolean finished = found.state() == RecordState.FINISHED;
@@ -88,7 +90,8 @@
     LedgerRecord found = editor.fullRecord(attempt.key());
     if (found != null && found.nonce().equals(attempt.nonce())) {
       if (found.state() != RecordState.STARTED) {
-        return ChangeDecision.provisional(response); // a paused owner may have started it again
+        // A paused writer may have stored the attempt as STARTED again.
+        return ChangeDecision.provisional(response);
       }
       editor.put(found.withState(RecordState.CANCELLED, 0, null, nowSeconds));
       return ChangeDecision.modified(response);
@@ -97,7 +100,7 @@
         editor.compactRecord(attempt.key()) == null
             && (found == null || found.state() == RecordState.CANCELLED);
     if (!keyIsFree || !operation.createIfAbsent()) {
-      return ChangeDecision.provisional(response); // another node may have created it meanwhile
+      return ChangeDecision.provisional(response); // another node may have created the record
     }
     editor.put(newRecord(attempt, RecordState.CANCELLED, nowSeconds));
     return ChangeDecision.modified(response);
@@ -117,7 +120,7 @@
           yield ChangeDecision.definitive(finishResponse(request, true));
         }
         boolean responseFits =
-            editor.encodedBytesWith(request.response()) <= limits.maxBytesWithResponses();
+            editor.maxEncodedBytesWith(request.response()) <= limits.maxBytesWithResponses();
         String response = responseFits ? request.response() : null;
         editor.put(found.withState(request.state(), request.status(), response, nowSeconds));
         yield ChangeDecision.modified(finishResponse(request, true));
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardCommand.java
@@ -18,14 +18,14 @@
   /** Response to {@code StartRequested}. */
   record StartResponse(Attempt attempt, StartResult result) implements ShardCommand {}
 
-  /** Response to {@code CancelRequested}: the attempt did not run and its key is free. */
+  /** Response to {@code CancelRequested}: the attempt has no record in state STARTED. */
   record CancelResponse(Attempt attempt) implements ShardCommand {}
 
   /**
    * Response to {@code FinishRequested}.
    *
-   * @param stored whether the record contains the outcome; false if it belongs to another attempt
-   *     or was cancelled
+   * @param stored whether the record contains the outcome; false if the attempt has no record or
+   *     its record was cancelled
    */
   record FinishResponse(LedgerKey key, String nonce, boolean stored) implements ShardCommand {}
 }
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardEditor.java
@@ -10,12 +10,12 @@
 final class ShardEditor {
   private final Map<LedgerKey, LedgerRecord> fullRecords;
   private final Map<LedgerKey, CompactRecord> compactRecords;
-  private int encodedBytes;
+  private int maxEncodedBytes;
 
   ShardEditor(LedgerShard base) {
     fullRecords = new LinkedHashMap<>(base.fullRecords());
     compactRecords = new LinkedHashMap<>(base.compactRecords());
-    encodedBytes = base.maxEncodedBytes();
+    maxEncodedBytes = base.maxEncodedBytes();
   }
 
   @Nullable LedgerRecord fullRecord(LedgerKey key) {
@@ -27,18 +27,18 @@
   }
 
   /** Returns an upper bound of the size in bytes after adding a full record with this response. */
-  int encodedBytesWith(@Nullable String response) {
-    return encodedBytes + LedgerShard.maxRecordBytes(response);
+  int maxEncodedBytesWith(@Nullable String response) {
+    return maxEncodedBytes + LedgerShard.maxRecordBytes(response);
   }
 
   void put(LedgerRecord record) {
     LedgerRecord old = fullRecords.remove(record.key());
     if (old != null) {
-      encodedBytes -= LedgerShard.maxRecordBytes(old.response());
+      maxEncodedBytes -= LedgerShard.maxRecordBytes(old.response());
     }
     compactRecords.remove(record.key());
     fullRecords.put(record.key(), record);
-    encodedBytes += LedgerShard.maxRecordBytes(record.response());
+    maxEncodedBytes += LedgerShard.maxRecordBytes(record.response());
   }
 
   /**
@@ -61,7 +61,7 @@
     }
     long oldestKeptSeconds = nowSeconds - retention.toSeconds();
     compactRecords.values().removeIf(r -> r.changedSeconds() < oldestKeptSeconds);
-    encodedBytes = build().maxEncodedBytes();
+    maxEncodedBytes = build().maxEncodedBytes();
   }
 
   LedgerShard build() {
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardEvent.java
@@ -17,7 +17,7 @@
   record CancelRequested(Attempt attempt, boolean createIfAbsent) implements ShardEvent {}
 
   /**
-   * An attempt ended.
+   * A node requests the finish record of an attempt that ended.
    *
    * @param state FINISHED or UNKNOWN
    * @param status HTTP status of the response; 0 if there is none
@@ -59,7 +59,12 @@
   /** The write was not applied, because the object has another version. */
   record WriteConflicted() implements ShardEvent {}
 
-  /** The write was rejected: it was not applied and never will be. */
+  /**
+   * The write was rejected: it was not applied and never will be.
+   *
+   * @param tooLarge whether the content exceeds the size limit of the object service
+   * @param retryAfterNanos minimum time until the next read or write
+   */
   record WriteRefused(boolean tooLarge, long retryAfterNanos) implements ShardEvent {}
 
   /** The result of the write is unknown: it may have been applied or may be applied later. */
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardWriter.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardWriter.java
@@ -35,7 +35,10 @@
   private LedgerShard cachedShard = LedgerShard.EMPTY;
   private String cachedVersion = "";
   private boolean readRequired = true;
-  private long cachedAtNanos;
+
+  /** Start of the read or write that gave the cached content, which is at least as recent. */
+  private long cachedAsOfNanos;
+
   private long callStartedNanos;
   private @Nullable LedgerShard shardInWrite;
   private Map<String, ShardCommand> responsesInWrite = Map.of();
@@ -89,7 +92,7 @@
       case ShardEvent.StartRequested e -> start(e.attempt(), nowNanos, out);
       case ShardEvent.CancelRequested e -> cancel(e, nowNanos, out);
       case ShardEvent.FinishRequested e ->
-          supersede(e.nonce(), new PendingChange.Operation.Finish(e), nowNanos);
+          addOrReplaceChange(e.nonce(), new PendingChange.Operation.Finish(e), nowNanos);
       case ShardEvent.ReadFinished e -> readFinished(e, nowNanos, out);
       case ShardEvent.ReadFailed e -> readFailed(nowNanos, out);
       case ShardEvent.WriteStored e -> writeStored(e.version(), out);
@@ -128,7 +131,7 @@
       pending.remove(attempt.nonce());
       out.accept(new ShardCommand.CancelResponse(attempt));
     } else if (current == null || current.isStart()) {
-      supersede(
+      addOrReplaceChange(
           attempt.nonce(),
           new PendingChange.Operation.Cancel(attempt, request.createIfAbsent()),
           nowNanos);
@@ -136,10 +139,10 @@
   }
 
   /**
-   * Replaces the pending change of an attempt with a later one, after the write in progress if that
-   * contains the pending change.
+   * Adds a change of an attempt. It replaces the pending change of the attempt if there is one, and
+   * does so after the write in progress if that contains the pending change.
    */
-  private void supersede(String nonce, PendingChange.Operation operation, long nowNanos) {
+  private void addOrReplaceChange(String nonce, PendingChange.Operation operation, long nowNanos) {
     PendingChange change = new PendingChange(operation, nowNanos);
     PendingChange current = pending.get(nonce);
     if (current != null && responsesInWrite.containsKey(nonce)) {
@@ -163,7 +166,7 @@
     phase = Phase.IDLE;
     cachedShard = found;
     cachedVersion = event.version();
-    cachedAtNanos = callStartedNanos;
+    cachedAsOfNanos = callStartedNanos;
     readRequired = false;
     resetBackoff();
     if (unknownWriteBaseVersion != null && !unknownWriteBaseVersion.equals(cachedVersion)) {
@@ -183,7 +186,7 @@
       cachedShard = shardInWrite;
     }
     cachedVersion = newVersion;
-    cachedAtNanos = callStartedNanos;
+    cachedAsOfNanos = callStartedNanos;
     resetBackoff();
     resolveUnknownWrite();
     Map<String, ShardCommand> responses = responsesInWrite;
@@ -304,7 +307,7 @@
         limits.retention().plus(LedgerLimits.CLOCK_SKEW_MARGIN));
     Map<String, ShardCommand> responses = new LinkedHashMap<>();
     Set<LedgerKey> modifiedKeys = new HashSet<>();
-    boolean unresolved = false;
+    boolean resolvingWriteRequired = false;
     boolean freshReadRequired = false;
     for (Map.Entry<String, PendingChange> e : List.copyOf(pending.entrySet())) {
       PendingChange change = e.getValue();
@@ -314,8 +317,8 @@
         responses.put(e.getKey(), decision.response());
         modifiedKeys.add(key);
       } else if (change.inUnknownWrite()) {
-        unresolved = true;
-      } else if (decision.provisional() && cachedAtNanos < change.requestedAtNanos()) {
+        resolvingWriteRequired = true;
+      } else if (decision.provisional() && cachedAsOfNanos < change.requestedAtNanos()) {
         freshReadRequired = true;
       } else if (!modifiedKeys.contains(key)) { // else the response depends on an unstored change
         pending.remove(e.getKey());
@@ -324,7 +327,7 @@
     }
     if (freshReadRequired) {
       read(nowNanos, out);
-    } else if (unresolved || !responses.isEmpty()) {
+    } else if (resolvingWriteRequired || !responses.isEmpty()) {
       write(editor.build(), responses, nowNanos, out);
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/orders/EngineOrder.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/EngineOrder.java
@@ -8,13 +8,13 @@
  *
  * @param engine the engine that receives the order
  * @param kind the part of the engine's state that the order changes
- * @param role desired role
+ * @param role desired role; for {@link Kind#LOAD_WEIGHTS} the current role of the engine
  * @param weights desired weights
  * @param revision revision of the manifest from which the order results
  */
 public record EngineOrder(
     UpstreamId engine, Kind kind, UpstreamRole role, String weights, long revision) {
-  /** Kind of an order. */
+  /** Change that an order requests. */
   public enum Kind {
     /** Accept no new requests; the first step of a role change. */
     DRAIN,
--- a/core/src/main/java/org/mustardlatch/core/orders/LeaseEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/LeaseEvent.java
@@ -12,14 +12,14 @@
    * The lease object was read.
    *
    * @param version version of the lease object; 0 if it does not exist
-   * @param holder nonce of the process that holds the lease; empty if there is none
+   * @param holder nonce of the process that wrote this version; empty if the object does not exist
    */
   record ReadFinished(long version, String holder) implements LeaseEvent {}
 
   /** The lease object could not be read. */
   record ReadFailed() implements LeaseEvent {}
 
-  /** The write was applied. */
+  /** The write was applied and the lease object now has this version. */
   record WriteStored(long version) implements LeaseEvent {}
 
   /** The write was not applied, or its result is unknown. */
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderLease.java
@@ -39,7 +39,8 @@
 
   /**
    * Returns the fencing token if an order may be sent now, which requires that the lease is still
-   * valid when the send times out. Call it immediately before each send.
+   * valid when the send times out. Call it immediately before each send. The fencing token is the
+   * version of the lease object, so that an engine can refuse orders of a former holder.
    */
   public OptionalLong fencingTokenForSending(long nowNanos) {
     long requiredNanos = times.sendTimeout().plus(times.safetyMargin()).toNanos();
@@ -89,7 +90,8 @@
 
   /**
    * Records the send time and base version of the first of several writes with unknown results,
-   * because any of them may be the write that was applied.
+   * because any of them may be the write that was applied. A term that is counted from the first
+   * send time never ends too late.
    */
   private void writeFailed(long nowNanos) {
     readRequired = true;
@@ -142,8 +144,9 @@
   }
 
   /**
-   * Waits until the term of the last read version has ended on every clock, then writes on
-   * condition of that version.
+   * Sends the write that acquires the lease as soon as no other node can still hold it: immediately
+   * if the lease object does not exist, else when the term of the last read version has ended on
+   * every clock.
    */
   private void takeOver(long nowNanos, Consumer<LeaseCommand> out) {
     long termEndNanos = versionFirstSeenNanos + times.term().plus(times.safetyMargin()).toNanos();
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderManagerEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderManagerEvent.java
@@ -9,6 +9,7 @@
    * A manifest became active.
    *
    * @param maxConcurrentLoads maximum number of weight loads in progress at once
+   * @param revision revision of the manifest
    */
   record DesiredStatesChanged(
       List<DesiredEngineState> desiredStates, int maxConcurrentLoads, long revision)
@@ -19,7 +20,7 @@
     }
   }
 
-  /** An event of the lease occurred. */
+  /** An event for the {@link OrderLease} occurred. */
   record LeaseEventReceived(LeaseEvent event) implements OrderManagerEvent {}
 
   /** The state of an engine was read. */
--- a/core/src/main/java/org/mustardlatch/core/orders/OrderPlanner.java
+++ b/core/src/main/java/org/mustardlatch/core/orders/OrderPlanner.java
@@ -53,9 +53,10 @@
         orders.add(change);
       }
     }
-    Set<UpstreamId> changing = new HashSet<>();
-    orders.forEach(o -> changing.add(o.engine()));
-    orders.addAll(loadOrders(pools, reportedByEngine, maxConcurrentLoads, changing, revision));
+    Set<UpstreamId> enginesWithOrder = new HashSet<>();
+    orders.forEach(o -> enginesWithOrder.add(o.engine()));
+    orders.addAll(
+        loadOrders(pools, reportedByEngine, maxConcurrentLoads, enginesWithOrder, revision));
     return orders;
   }
 
@@ -69,14 +70,14 @@
       Map<UpstreamId, ReportedEngineState> reportedByEngine,
       long revision) {
     return pool.stream()
-        .filter(g -> reportedByEngine.containsKey(g.engine()))
-        .filter(g -> reportedState(reportedByEngine, g).role() != g.role())
-        .filter(g -> poolKeepsStages(pool, reportedByEngine, g))
+        .filter(d -> reportedByEngine.containsKey(d.engine()))
+        .filter(d -> reportedState(reportedByEngine, d).role() != d.role())
+        .filter(d -> poolKeepsStages(pool, reportedByEngine, d))
         .min(
             Comparator.comparingInt(
-                    (DesiredEngineState g) -> reportedState(reportedByEngine, g).openRequests())
+                    (DesiredEngineState d) -> reportedState(reportedByEngine, d).openRequests())
                 .thenComparing(DesiredEngineState::engine))
-        .map(g -> roleChangeOrder(g, reportedState(reportedByEngine, g), revision))
+        .map(d -> roleChangeOrder(d, reportedState(reportedByEngine, d), revision))
         .orElse(null);
   }
 
@@ -98,26 +99,27 @@
     ReportedEngineState current = reportedState(reportedByEngine, changing);
     List<ReportedEngineState> others =
         pool.stream()
-            .filter(g -> !g.engine().equals(changing.engine()))
-            .map(g -> reportedByEngine.get(g.engine()))
-            .filter(v -> v != null && !v.loading())
+            .filter(d -> !d.engine().equals(changing.engine()))
+            .map(d -> reportedByEngine.get(d.engine()))
+            .filter(r -> r != null && !r.loading())
             .toList();
     boolean prefillServed =
         !current.role().prefills()
             || changing.role().prefills()
-            || others.stream().anyMatch(v -> v.role().prefills());
+            || others.stream().anyMatch(r -> r.role().prefills());
     boolean decodeServed =
         !current.role().decodes()
             || changing.role().decodes()
-            || others.stream().anyMatch(v -> v.role().decodes());
+            || others.stream().anyMatch(r -> r.role().decodes());
     return prefillServed && decodeServed;
   }
 
+  /** Returns the orders to load weights, beginning with the pool that has the fewest free slots. */
   private static List<EngineOrder> loadOrders(
       Map<String, List<DesiredEngineState>> pools,
       Map<UpstreamId, ReportedEngineState> reportedByEngine,
       int maxConcurrentLoads,
-      Set<UpstreamId> changing,
+      Set<UpstreamId> enginesWithOrder,
       long revision) {
     long loadsInProgress =
         reportedByEngine.values().stream().filter(ReportedEngineState::loading).count();
@@ -127,18 +129,18 @@
             pool ->
                 pool.stream()
                     .filter(
-                        g ->
-                            reportedByEngine.containsKey(g.engine())
-                                && !changing.contains(g.engine()))
-                    .filter(g -> needsLoad(g, reportedState(reportedByEngine, g))))
+                        d ->
+                            reportedByEngine.containsKey(d.engine())
+                                && !enginesWithOrder.contains(d.engine()))
+                    .filter(d -> needsLoad(d, reportedState(reportedByEngine, d))))
         .limit(Math.max(0, maxConcurrentLoads - loadsInProgress))
         .map(
-            g ->
+            d ->
                 new EngineOrder(
-                    g.engine(),
+                    d.engine(),
                     EngineOrder.Kind.LOAD_WEIGHTS,
-                    reportedState(reportedByEngine, g).role(),
-                    g.weights(),
+                    reportedState(reportedByEngine, d).role(),
+                    d.weights(),
                     revision))
         .toList();
   }
@@ -150,8 +152,8 @@
   private static int freeSlotsOf(
       List<DesiredEngineState> pool, Map<UpstreamId, ReportedEngineState> reportedByEngine) {
     return pool.stream()
-        .map(g -> reportedByEngine.get(g.engine()))
-        .mapToInt(v -> v == null ? 0 : v.freeSlots())
+        .map(d -> reportedByEngine.get(d.engine()))
+        .mapToInt(r -> r == null ? 0 : r.freeSlots())
         .sum();
   }
 
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeNode.java
@@ -139,8 +139,9 @@
   }
 
   /**
-   * Simulates the claim just before the request is sent. The claim can be delayed, and a pause can
-   * occur between the claim and the sending.
+   * Dispatches the request in two steps. The first claims the dispatch, which fails if the caller
+   * disconnected or the deadline has passed; the second sends the request. Each step can be
+   * delayed, and the node can be paused between them.
    */
   @Override
   public void dispatch(String nonce) {
--- a/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/FakeStore.java
@@ -60,7 +60,7 @@
           StoredObject s = object(shard);
           if (isDown()) {
             response.deliver(new ShardEvent.ReadFailed());
-          } else if (!loseResponse()) {
+          } else if (!shouldLoseResponse()) {
             time.schedule(
                 delay(), () -> response.deliver(new ShardEvent.ReadFinished(s.version, s.content)));
           }
@@ -90,7 +90,7 @@
       onApplied.accept(content);
     }
     String currentVersion = object(shard).version;
-    if (!loseResponse()) {
+    if (!shouldLoseResponse()) {
       time.schedule(
           delay(),
           () ->
@@ -105,7 +105,7 @@
     return time.nanos() < downUntilNanos;
   }
 
-  private boolean loseResponse() {
+  private boolean shouldLoseResponse() {
     return faulty && random.nextInt(8) == 0;
   }
 
--- a/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/ShardWriterTest.java
@@ -10,8 +10,9 @@
 import org.mustardlatch.core.model.WorkspaceId;
 
 /**
- * Guards against writes above the rate limit of a shard and against starts that are accepted
- * although the shard has no space for their finish records.
+ * Guards against writes above the rate limit of a shard, against starts that are accepted although
+ * the shard has no space for their finish records, and against cancel responses while a write with
+ * an unknown result may still store the start record.
  */
 class ShardWriterTest {
   private static final long NOW_SECONDS = 1_800_000_000L;
@@ -66,7 +67,7 @@
   }
 
   @Test
-  void unknownWriteIsRepeatedOnTheVersionJustReadBeforeTheCancelResponse() {
+  void cancelResponseWaitsForAWriteOnTheVersionOfTheUnknownWrite() {
     ShardWriter writer = new ShardWriter(LedgerLimits.of(Duration.ofHours(24), 256));
     handle(writer, new ShardEvent.StartRequested(attempt(0)), 0);
     handle(writer, new ShardEvent.ReadFinished("", null), 0);
--- a/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/orders/OrderSimulation.java
@@ -106,7 +106,8 @@
     return Duration.ofMillis(random.nextInt(boundMillis));
   }
 
-  private boolean injectFault(int oneIn) {
+  /** Returns true with a probability of one in {@code oneIn} until the faults stop. */
+  private boolean shouldInjectFault(int oneIn) {
     return faulty && random.nextInt(oneIn) == 0;
   }
 
@@ -147,7 +148,7 @@
         return;
       }
       task.run();
-      if (injectFault(60)) {
+      if (shouldInjectFault(60)) {
         activePauses++;
         time.schedule(randomDuration(60_000), this::resume);
       }
@@ -176,7 +177,7 @@
         case OrderManagerCommand.ReadEngine c ->
             scheduleEvent(
                 randomDuration(100),
-                injectFault(20)
+                shouldInjectFault(20)
                     ? new OrderManagerEvent.EngineReadFailed(c.engine())
                     : new OrderManagerEvent.EngineRead(
                         engine(c.engine()).reportedState(c.engine())));
@@ -191,7 +192,7 @@
                 randomDuration(100),
                 () ->
                     handleLeaseEvent(
-                        injectFault(10)
+                        shouldInjectFault(10)
                             ? new LeaseEvent.ReadFailed()
                             : new LeaseEvent.ReadFinished(leaseVersion, leaseHolder)));
         case LeaseCommand.Write c -> writeLease(c);
@@ -210,7 +211,7 @@
 
     /** Applies the write after a delay, even if the call of the sender timed out long before. */
     private void writeLease(LeaseCommand.Write c) {
-      boolean responseLost = injectFault(5);
+      boolean responseLost = shouldInjectFault(5);
       Duration delay =
           responseLost && random.nextBoolean() ? randomDuration(20_000) : randomDuration(500);
       if (responseLost) {
@@ -247,7 +248,8 @@
       lastFencingToken = c.fencingToken();
       lastSender = name;
       time.schedule(
-          injectFault(15) ? randomDuration(40_000) : randomDuration(200), () -> applyOrder(c));
+          shouldInjectFault(15) ? randomDuration(40_000) : randomDuration(200),
+          () -> applyOrder(c));
       scheduleEvent(Duration.ofSeconds(1), new OrderManagerEvent.OrderEnded(c.order().engine()));
     }
 
