--- a/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AdmissionController.java
@@ -18,13 +18,14 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveWithdraw;
 
 /**
- * The cells that this node admits work to: routes admission messages and engine reports to the
- * {@link CellAdmission} of the cell.
+ * Keeps a {@link CellAdmission} for each cell that is assigned to this node as its admitting node,
+ * and passes it the messages of entry nodes and the reports of engines. Called by {@link
+ * NodeRouter}.
  */
 final class AdmissionController {
-  // A node with another view of the membership may send requests for a cell that this node does not
-  // own. Such a cell is dropped after this idle time.
-  private static final long UNOWNED_CELL_IDLE_NANOS = 30_000_000_000L;
+  // A node with another view of the membership may send requests for a cell that is assigned to
+  // another node. Such a cell is dropped after this idle time.
+  private static final long UNASSIGNED_CELL_IDLE_NANOS = 30_000_000_000L;
   private static final long UNKNOWN_CELL_RETRY_NANOS = 500_000_000;
 
   private final CommandCollector commands;
@@ -46,7 +47,10 @@
     this.topology = topology;
   }
 
-  /** Takes over the cells that this node now admits to and drops all others. */
+  /**
+   * Takes over the cells that are now assigned to this node, drops all others, and frees the
+   * reservations of nodes that are no longer live.
+   */
   void topologyChanged(Topology next) {
     topology = next;
     admissions.values().removeIf(c -> !shouldKeep(c));
@@ -66,8 +70,8 @@
   }
 
   private boolean admitsTo(Cell cell) {
-    List<HostId> owners = topology.admittingNodes(cell);
-    return !owners.isEmpty() && owners.getFirst().equals(commands.self());
+    List<HostId> nodes = topology.admittingNodes(cell);
+    return !nodes.isEmpty() && nodes.getFirst().equals(commands.self());
   }
 
   private CellAdmission getOrCreateAdmission(Cell cell) {
@@ -157,7 +161,10 @@
     }
   }
 
-  /** Drops every reservation. After a long pause, other nodes have taken over the cells. */
+  /**
+   * Drops all reservations and queued requests, as other nodes may have taken over the cells during
+   * a long pause of this node.
+   */
   void dropAllReservations() {
     admissions.clear();
     topologyChanged(topology);
@@ -168,7 +175,7 @@
     return cell == null ? null : admissions.get(cell.name());
   }
 
-  /** Expires reservations of one cell and serves its queue. */
+  /** Runs the periodic work of one cell. */
   void tick(String cell) {
     CellAdmission c = admissions.get(cell);
     if (c != null) {
@@ -176,7 +183,7 @@
     }
   }
 
-  /** Runs the periodic work of all cells and drops idle ones that this node does not own. */
+  /** Runs the periodic work of all cells and drops idle ones that are assigned to other nodes. */
   void tickAll() {
     admissions.values().forEach(CellAdmission::tick);
     admissions
@@ -185,7 +192,8 @@
             e ->
                 !admitsTo(e.getValue().cell())
                     && e.getValue().isIdle()
-                    && commands.now() - e.getValue().lastActivityNanos() > UNOWNED_CELL_IDLE_NANOS);
+                    && commands.now() - e.getValue().lastActivityNanos()
+                        > UNASSIGNED_CELL_IDLE_NANOS);
   }
 
   int reservationCount() {
@@ -196,8 +204,8 @@
     return admissions.values().stream().mapToInt(CellAdmission::queuedCount).sum();
   }
 
-  /** Returns the engines of the cells that this node is the admitting node of. */
-  List<UpstreamId> ownedEngines() {
+  /** Returns the engines of the cells that are assigned to this node. */
+  List<UpstreamId> admittedEngines() {
     List<UpstreamId> result = new ArrayList<>();
     for (CellAdmission c : admissions.values()) {
       if (admitsTo(c.cell())) {
--- a/core/src/main/java/org/mustardlatch/core/routing/Cell.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Cell.java
@@ -6,8 +6,8 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * A cell: the engines of one model in one region that share one admitting node. The engines of a
- * large pool are divided into several cells.
+ * A cell: the engines of one model in one region that share one admitting node. If a model has many
+ * engines in a region, they are divided into several cells.
  *
  * @param name name that is unique in the fleet, for example {@code label/oslo/0}
  * @param engines the engines, in manifest order
@@ -17,7 +17,7 @@
     engines = List.copyOf(engines);
   }
 
-  /** Returns whether an engine that is not leaving has a role that includes prefill. */
+  /** Returns whether the cell has a prefill or mixed engine that is not leaving (draining). */
   boolean hasPrefillEngine() {
     return engines.stream().anyMatch(e -> e.role().prefills() && !e.leaving());
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -34,20 +34,21 @@
  * the observed state of the engines.
  */
 final class CellAdmission {
-  /** Time for renewals and request lists to arrive after this node takes over the cell. */
+  /** Time for renewals and attempt lists of engines to arrive after a takeover of the cell. */
   static final long HANDOVER_NANOS = 2_500_000_000L;
 
   /** Time that a reservation lasts beyond the predicted first token, nanoseconds. */
   static final long GRANT_MARGIN_NANOS = 2_000_000_000L;
 
-  /** Time to live of a reservation after each renewal, nanoseconds. */
-  static final long DECODE_RESERVATION_NANOS = 20_000_000_000L;
+  /** Time to live of a reservation after each renewal, in any stage, nanoseconds. */
+  static final long RENEWED_RESERVATION_NANOS = 20_000_000_000L;
 
   // Every response carries a summary; in a burst it is not recomputed for each of them.
   private static final long MAX_SUMMARY_AGE_NANOS = 2_000_000;
 
   // Requests at the head of the queue that are tried when the first one has no fitting engine.
   private static final int QUEUE_LOOKAHEAD = 4;
+  // A blocked engine gets no new work for this time after a crash, a failure or a refusal.
   private static final long CRASH_BLOCK_NANOS = 3_000_000_000L;
   // An engine that keeps failing is retried after 1 s, 2 s, 4 s and so on, up to 16 s.
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
@@ -55,11 +56,11 @@
   private static final long REFUSAL_BLOCK_NANOS = 150_000_000L;
   // Averages the request size over about the last ten requests.
   private static final double NEWEST_SIZE_WEIGHT = 0.1;
-  // Departures per slot and second until departures have been observed: a request occupies a slot
-  // for about 10 s.
+  // Departures per slot and second that are assumed until departures have been observed: a request
+  // occupies a slot for about 10 s.
   private static final double INITIAL_DEPARTURES_PER_SLOT = 0.1;
 
-  /** Collaborators that all cells of a node share. */
+  /** Collaborators that the cells of a node and its {@link RequestCoordinator} share. */
   record Environment(
       CommandCollector commands,
       RandomGenerator random,
@@ -93,6 +94,7 @@
   private @Nullable CellSummary summary;
   private long summaryComputedNanos;
   private long lastActivityNanos;
+  // KV memory of prompt and output, averaged over recent requests; 0 before the first one.
   private double averageRequestPieces;
 
   CellAdmission(
@@ -176,7 +178,8 @@
       case DEADLINE_UNREACHABLE -> refuseOverloaded(request);
       case NO_CAPACITY -> {
         if (request.kvSource() != null) {
-          // The KV cache may expire while the request waits. The entry node can recover better.
+          // The KV cache may expire while the request waits. After a refusal, the entry node can
+          // start a new attempt at once.
           refuseOverloaded(request);
         } else {
           enqueue(request);
@@ -195,7 +198,7 @@
     }
   }
 
-  /** Extends a reservation and updates the engine estimates with the duration of its stage. */
+  /** Extends or adopts a reservation and updates the engine estimates with its progress. */
   void renew(HostId from, ReservationRenew renew) {
     Reservation r = reservations.get(renew.attempt());
     if (r == null) {
@@ -219,7 +222,7 @@
     } else if (renew.stage() == Stage.DECODE) {
       recordTokenProgress(r, renew.tokensSoFar());
     }
-    r.expiresNanos = commands.now() + DECODE_RESERVATION_NANOS;
+    r.expiresNanos = commands.now() + RENEWED_RESERVATION_NANOS;
     serveQueue();
   }
 
@@ -269,7 +272,7 @@
     serveQueue();
   }
 
-  /** Applies a new list of engines; reservations on engines that remain are kept. */
+  /** Applies a changed cell; reservations on removed engines stay until released or expired. */
   void cellChanged(Cell next) {
     if (!next.equals(cell)) {
       cell = next;
@@ -277,7 +280,7 @@
     }
   }
 
-  /** Returns a placer for the cell; the state of engines that remain is kept. */
+  /** Replaces the engines, keeping the state of those that remain, and returns their placer. */
   private Placer createPlacer(Cell next) {
     Map<UpstreamId, EngineState> previous = new HashMap<>(engines);
     engines.clear();
@@ -296,7 +299,7 @@
   /** Drops reservations and queued requests of nodes that are dead or removed. */
   void removeReservationsOfDeadNodes(Predicate<HostId> alive) {
     for (Reservation r : new ArrayList<>(reservations.values())) {
-      if (!alive.test(r.owner)) {
+      if (!alive.test(r.requester)) {
         reservations.remove(r.attempt);
         freeReservation(r, false);
       }
@@ -309,7 +312,10 @@
     serveQueue();
   }
 
-  /** Drops expired reservations, refuses requests past their deadline and serves the queue. */
+  /**
+   * Decays estimates without observations, drops expired reservations, refuses requests past their
+   * deadline and serves the queue.
+   */
   void tick() {
     long now = commands.now();
     placer.decayIdleEstimates(now);
@@ -383,14 +389,15 @@
 
   /** Returns the first-token deadline less the safety margin for predictions. */
   private long latestFirstTokenNanos(ReservationRequest request) {
-    double margin =
+    double marginShare =
         request.kvSource() == null ? settings.policyParameters().deadlineMarginShare() : 0;
-    return request.firstTokenDeadlineNanos() - (long) (margin * request.budgetNanos());
+    return request.firstTokenDeadlineNanos() - (long) (marginShare * request.budgetNanos());
   }
 
   /**
    * Returns whether a request may be granted past its deadline: its prompt is too long for the
-   * deadline on any engine, and there is spare capacity.
+   * deadline even at the rate in the manifest, at most one request is queued, and more than half of
+   * the decode capacity is free.
    */
   private boolean mayExceedDeadline(ReservationRequest request, Placer.Placement p) {
     return request.kvSource() == null
@@ -441,7 +448,7 @@
       p.decodeEngine().probeLimiter.probeSent(now);
     }
     transferLimiter.acquire();
-    r.transferReserved = true;
+    r.hasTransferPermit = true;
     reservations.put(r.attempt, r);
     sendGrant(r);
   }
@@ -469,7 +476,7 @@
     }
   }
 
-  /** Ends the transfer stage: frees the permit and the prefill engine. */
+  /** Frees the permit and prefill engine of an attempt that starts decode or ended before it. */
   private void endTransfer(Reservation r, boolean finished) {
     long now = commands.now();
     if (r.stage == Stage.PREFILL) {
@@ -482,9 +489,9 @@
       }
       transferLimiter.recordTransfer(r.kvBytes, duration, now);
     }
-    if (r.transferReserved) {
+    if (r.hasTransferPermit) {
       transferLimiter.release();
-      r.transferReserved = false;
+      r.hasTransferPermit = false;
     }
     if (r.prefillEngine != null && r.prefillEngine != r.decodeEngine) {
       releaseSlot(r.prefillEngine, r, r.prefillPieces);
@@ -519,7 +526,7 @@
     r.tokensUpdatedNanos = now;
   }
 
-  /** Records a reservation that another admitting node granted. */
+  /** Creates a reservation from the renewal of one that another admitting node granted. */
   private void adoptReservation(HostId from, ReservationRenew renew) {
     EngineState e = engines.get(renew.upstream());
     if (e == null) {
@@ -531,12 +538,12 @@
     r.stageStartNanos = commands.now();
     r.tokensSoFar = renew.tokensSoFar();
     r.tokensUpdatedNanos = commands.now();
-    r.expiresNanos = commands.now() + DECODE_RESERVATION_NANOS;
+    r.expiresNanos = commands.now() + RENEWED_RESERVATION_NANOS;
     reserveSlot(e, r, r.decodePieces);
     reservations.put(r.attempt, r);
   }
 
-  /** Moves an adopted reservation from its prefill engine to its decode engine. */
+  /** Moves an adopted reservation to the engine of its renewal, for example prefill to decode. */
   private void moveAdoptedReservation(Reservation r, ReservationRenew renew) {
     EngineState next = engines.get(renew.upstream());
     if (next != null && r.decodeEngine != null && next != r.decodeEngine) {
@@ -565,12 +572,12 @@
   }
 
   /** Blocks a crashed engine and reports the requests that ran on it, once per crash. */
-  private void recordCrash(EngineState e, @Nullable Reservation reporting) {
+  private void recordCrash(EngineState e, @Nullable Reservation reportedBy) {
     long now = commands.now();
     e.blockFor(now, CRASH_BLOCK_NANOS);
     e.prefixIndex.clear();
     e.unreservedAttempts = 0;
-    if (reporting == null || reporting.countedCrashEngine == e) {
+    if (reportedBy == null || reportedBy.countedCrashEngine == e) {
       // Every entry node reports the same crash for its own attempts.
       return;
     }
@@ -587,7 +594,7 @@
     crashListener.engineCrashed(e.upstream.id(), running);
   }
 
-  /** Queues a request, or refuses it if its predicted wait exceeds the deadline. */
+  /** Queues a request, or refuses it if its first token is predicted after the deadline. */
   private void enqueue(ReservationRequest request) {
     long wait = estimateWaitNanos(request);
     if (commands.now() + wait + shortestServiceNanos(request) > latestFirstTokenNanos(request)) {
@@ -629,7 +636,8 @@
   }
 
   /**
-   * Returns the predicted wait of a request before its prefill, nanoseconds.
+   * Returns the predicted wait of a request before its prefill, nanoseconds. If no engine can run a
+   * prefill, this is {@code Long.MAX_VALUE / 4}, so that sums with it do not overflow.
    *
    * @param request null for a request behind all those in the queue
    */
@@ -653,17 +661,18 @@
         prefillWait, (long) (missingSlots * 1e9 / departureRate.perSecond(now, initial)));
   }
 
+  /** Refuses a request as overloaded, or as unavailable if no decode engine is usable. */
   private void refuseOverloaded(ReservationRequest request) {
     long budget = Math.max(1, request.budgetNanos());
-    Duration after = retryAfterJitter.draw(summary().predictedWaitNanos(), budget);
+    Duration retryAfter = retryAfterJitter.draw(summary().predictedWaitNanos(), budget);
     boolean noEngine = totalDecodeCapacity() == 0;
-    refuse(request, noEngine ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, after);
+    refuse(request, noEngine ? ErrorCode.UPSTREAM_UNAVAILABLE : ErrorCode.OVERLOADED, retryAfter);
   }
 
-  private void refuse(ReservationRequest request, ErrorCode code, Duration after) {
+  private void refuse(ReservationRequest request, ErrorCode code, Duration retryAfter) {
     commands.send(
         request.requester(),
-        new ReserveRefused(request.attempt(), code, after.toNanos(), summary()));
+        new ReserveRefused(request.attempt(), code, retryAfter.toNanos(), summary()));
   }
 
   private void sendQueued(ReservationRequest request) {
@@ -672,12 +681,13 @@
         new ReserveQueued(request.attempt(), summary().predictedWaitNanos(), summary()));
   }
 
+  /** Sends a grant, except for an adopted reservation: its KV source is not recorded. */
   private void sendGrant(Reservation r) {
     if (r.decodeEngine == null || r.kvSource == null) {
       return;
     }
     commands.send(
-        r.owner,
+        r.requester,
         new ReserveGranted(
             r.attempt,
             r.kvSource,
--- a/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CrashEvidenceCoordinator.java
@@ -15,8 +15,8 @@
 import org.mustardlatch.core.quarantine.SuspectRunPermissions;
 
 /**
- * Exchanges crash evidence with the other nodes, and grants run permissions for suspect
- * fingerprints that this node owns.
+ * Exchanges crash evidence with the other nodes, and decides which attempt of a suspect request may
+ * run. Each request fingerprint has one owner node, which grants these permissions.
  */
 final class CrashEvidenceCoordinator implements CellAdmission.CrashListener {
   // Two admitting nodes may report the same crash during a handover of the cell. Engines take
@@ -60,19 +60,25 @@
     broadcast(report);
   }
 
-  /** Clears a suspect that ran to its end without a crash, on every node. */
+  /** Clears, on every node, the fingerprint of a suspect request that finished without a crash. */
   void clearSuspect(Fingerprint fingerprint) {
     evidence.clear(fingerprint);
     suspectRuns.runEnded(fingerprint);
     broadcast(new Cleared(fingerprint));
   }
 
-  /** Returns the live nodes in the order in which they own a fingerprint, the owner first. */
+  /**
+   * Returns the live nodes ranked for a fingerprint: its owner, then the nodes that replace it if
+   * it does not respond.
+   */
   List<HostId> ownersOf(Fingerprint fingerprint) {
     return topology.rankedOwners(fingerprint.value());
   }
 
-  /** Handles a message about crash evidence, except permissions for requests of this node. */
+  /**
+   * Handles a message about crash evidence, except {@link RunPermission}, which the {@link
+   * RequestCoordinator} receives.
+   */
   void handle(HostId from, EvidenceMessage message) {
     switch (message) {
       case CrashReport r -> recordReport(r);
@@ -114,7 +120,7 @@
     recentReports.forEach(r -> commands.send(host, r.report()));
   }
 
-  /** Records a report once; reports of the same crash by other nodes share its crash ID. */
+  /** Records a report once. A second node's report of a crash gets the crash ID of the first. */
   private void recordReport(CrashReport report) {
     long now = commands.now();
     if (recentReports.stream().anyMatch(r -> r.report().crashId().equals(report.crashId()))) {
--- a/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/DepartureRate.java
@@ -2,7 +2,7 @@
 
 /**
  * The rate at which decode slots of a cell become free, as an exponentially weighted mean over
- * windows of one second.
+ * windows of at least one second.
  */
 final class DepartureRate {
   private static final long WINDOW_NANOS = 1_000_000_000;
--- a/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EngineState.java
@@ -13,10 +13,10 @@
   // Process start, connection set-up and scheduling delay single prefills by tens of milliseconds.
   // Without this allowance, one short prompt made its engine look 20 times too slow.
   private static final long PREFILL_JITTER_NANOS = 50_000_000;
-  // A prefill past its predicted end is expected to take this share of its age in addition.
+  // A prefill past its predicted end is predicted to last this share of its age longer.
   private static final double OVERDUE_REMAINING_SHARE = 0.3;
-  // Longest remaining block after which an engine still counts as usable soon.
-  private static final long SHORT_BLOCK_NANOS = 300_000_000;
+  // An engine counts as usable soon if its blockedUntilNanos is at most this far ahead.
+  private static final long USABLE_SOON_NANOS = 300_000_000;
 
   private static final int MIN_PREFIX_BLOCKS = 64;
 
@@ -67,16 +67,19 @@
   }
 
   /** Returns whether work can be sent now: the engine is neither leaving nor blocked. */
-  boolean isUsable(LeavingUpstreams leaving, long now) {
-    return !upstream.leaving() && now >= blockedUntilNanos && !leaving.contains(upstream.id(), now);
+  boolean isUsable(LeavingUpstreams leavingUpstreams, long now) {
+    return !upstream.leaving()
+        && now >= blockedUntilNanos
+        && !leavingUpstreams.contains(upstream.id(), now);
   }
 
   /** Returns whether work can be sent now or after a block of at most 300 ms. */
-  boolean isUsableSoon(LeavingUpstreams leaving, long now) {
-    return isUsable(leaving, Math.max(now, Math.min(blockedUntilNanos, now + SHORT_BLOCK_NANOS)));
+  boolean isUsableSoon(LeavingUpstreams leavingUpstreams, long now) {
+    return isUsable(
+        leavingUpstreams, Math.max(now, Math.min(blockedUntilNanos, now + USABLE_SOON_NANOS)));
   }
 
-  /** Blocks the engine for new work for at least {@code durationNanos} from now. */
+  /** Ensures that the engine gets no new work for at least {@code durationNanos} from now. */
   void blockFor(long now, long durationNanos) {
     blockedUntilNanos = Math.max(blockedUntilNanos, now + durationNanos);
   }
@@ -87,7 +90,8 @@
 
   /**
    * Returns the slots that a new admitting node may grant before it has received all reservations
-   * of its predecessor: half of the slots that the engine reports as free.
+   * of its predecessor: half of the slots that the engine reports as free, less those that this
+   * node already granted.
    */
   int freeSlotsInHandover() {
     int half =
@@ -122,7 +126,7 @@
 
   /**
    * Returns the duration of a prefill at the rate that the manifest declares, without the tokens
-   * that are probably cached, nanoseconds.
+   * that are probably cached and with the overhead of the messages, nanoseconds.
    */
   long nominalPrefillNanos(int promptTokens, List<Long> prefix) {
     int rate = Math.max(1, upstream.prefillTokensPerSecond());
--- a/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/FairQueue.java
@@ -71,7 +71,10 @@
     return result;
   }
 
-  /** Removes a request that was granted and advances the virtual time to its start tag. */
+  /**
+   * Removes a request that was granted and advances the virtual time to its start tag. Resets the
+   * tags if the queue is then empty.
+   */
   void removeServed(AttemptId attempt) {
     QueuedRequest queued = remove(attempt);
     if (queued != null) {
--- a/core/src/main/java/org/mustardlatch/core/routing/KvTransferLimiter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/KvTransferLimiter.java
@@ -1,10 +1,10 @@
 package org.mustardlatch.core.routing;
 
 /**
- * Limits the concurrent KV transfers of a cell and predicts their duration. The manifest does not
- * state the rate or the topology of links within a region, so the limit on attempts between grant
- * and end of transfer adapts to observed durations: it decreases multiplicatively when transfers
- * approach the lifetime of an exported KV cache, and increases while they are short.
+ * Limits the attempts of a cell that are between their grant and the end of their KV transfer, and
+ * predicts the duration of transfers. The manifest does not state the rate or the topology of links
+ * within a region, so the limit adapts to observed durations: it decreases multiplicatively when
+ * transfers approach the lifetime of an exported KV cache, and increases while they are short.
  */
 final class KvTransferLimiter {
   private static final double NEWEST_WEIGHT = 0.2;
@@ -52,7 +52,8 @@
     if (bytes <= 0 || durationNanos < 0) {
       return;
     }
-    // The time beyond this was spent waiting for the engine and says nothing about the link.
+    // Time beyond SLOW_TRANSFER_NANOS was spent waiting for the engine and says nothing about the
+    // link.
     double observed = (double) Math.min(durationNanos, SLOW_TRANSFER_NANOS) / bytes;
     lastObservationNanos = now;
     nanosPerByte =
--- a/core/src/main/java/org/mustardlatch/core/routing/LeavingUpstreams.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/LeavingUpstreams.java
@@ -7,14 +7,15 @@
 import org.mustardlatch.core.model.UpstreamId;
 
 /**
- * The upstreams that are leaving (draining), as signaled by the upstream itself, the host list, the
- * manifest or a notice of another node.
+ * The upstreams that are leaving (draining), as signaled by the upstream itself, the host list or a
+ * notice of another node. Leaving upstreams of the manifest are not recorded here: {@link
+ * EngineState#isUsable} checks both.
  */
 final class LeavingUpstreams {
-  /** Lifetime of a signal; the host list and the manifest repeat their signals. */
+  /** Lifetime of a signal; the host list repeats its signal every time it is read. */
   static final long SIGNAL_LIFETIME_NANOS = 300_000_000_000L;
 
-  /** Notices that the node with the first signal sends, as one message may be lost. */
+  /** Number of notices to the other nodes for a local signal, as one message may be lost. */
   private static final int MAX_NOTICES = 4;
 
   private static final long NOTICE_INTERVAL_NANOS = 1_000_000_000;
@@ -27,7 +28,7 @@
 
   private final Map<UpstreamId, LeavingSignal> signals = new HashMap<>();
 
-  /** Records a signal that another node observed. */
+  /** Records a signal that another node observed, or extends the lifetime of a recorded one. */
   void recordRemoteSignal(UpstreamId upstream, long now) {
     LeavingSignal signal = signals.computeIfAbsent(upstream, u -> new LeavingSignal());
     signal.expiresNanos = now + SIGNAL_LIFETIME_NANOS;
--- a/core/src/main/java/org/mustardlatch/core/routing/LoadReport.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/LoadReport.java
@@ -5,7 +5,8 @@
  *
  * @param runningRequests requests that occupy a slot
  * @param queuedRequests requests that wait in the engine
- * @param freeMemoryPieces free KV memory in pieces of 1,000 tokens
+ * @param freeMemoryPieces free KV memory in pieces of the size that the model states, by default
+ *     1,000 tokens
  * @param leaving whether the engine reports that it is leaving
  */
 public record LoadReport(
--- a/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/NodeRouter.java
@@ -81,7 +81,7 @@
 
   /** Returns the engines whose load and attempts this node must poll as their admitting node. */
   public List<UpstreamId> admittedEngines() {
-    return admissionController.ownedEngines();
+    return admissionController.admittedEngines();
   }
 
   /** Returns the number of requests of this node's callers without a final response. */
--- a/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/OrphanedAttemptSweeper.java
@@ -18,12 +18,15 @@
   // Attempts of a node that has just joined may be listed before membership reports the node here.
   private static final long UNKNOWN_OWNER_GRACE_NANOS = 10_000_000_000L;
 
-  // Far more nodes than are replaced before engines have dropped the attempts of the old ones.
+  // Far more than the nodes that are replaced within the time in which engines drop the attempts of
+  // a dead node.
   private static final int MAX_DEAD_NODES = 1000;
 
   private record Owner(HostId host, long incarnation) {}
 
   private final CommandCollector commands;
+
+  /** Times at which attempts of owners that are not in the membership were first listed. */
   private final Map<Owner, Long> unknownSinceNanos = new HashMap<>();
 
   /** Nodes that left the live set, with their last observed incarnation. */
@@ -88,9 +91,9 @@
     return commands.now() - since >= UNKNOWN_OWNER_GRACE_NANOS;
   }
 
-  /** Drops owners that have not been listed for a while. */
+  /** Drops entries of unknown owners some time after their grace period. */
   void tick() {
-    // Twice the grace period, so that an owner whose attempts are still listed keeps its entry.
+    // Twice the grace period: in the second half, listed attempts of the owner are cancelled.
     unknownSinceNanos.values().removeIf(t -> commands.now() - t >= 2 * UNKNOWN_OWNER_GRACE_NANOS);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/routing/PauseDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PauseDetector.java
@@ -1,6 +1,6 @@
 package org.mustardlatch.core.routing;
 
-/** Detects that this node was paused from the time between the events that it handles. */
+/** Detects pauses of this node by long gaps between the events that it handles. */
 final class PauseDetector {
   /** The state of the node since the previous event. */
   enum PauseState {
@@ -12,8 +12,8 @@
     LONG_PAUSE
   }
 
-  // The node's own timer fires every 100 ms. Grants older than this may name upstreams that have
-  // become unusable, as messages behind them in the input report.
+  // The node's own timer fires every 100 ms, so a much longer gap is a pause. Pending grants may
+  // then name upstreams that have become unusable, which messages later in the input report.
   private static final long SHORT_PAUSE_NANOS = 2_000_000_000;
 
   // Membership declares a node dead 8 s after its last heartbeat at the earliest (3 s of missed
--- a/core/src/main/java/org/mustardlatch/core/routing/Placer.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Placer.java
@@ -9,8 +9,10 @@
 
 /**
  * Chooses the prefill and decode engines of a reservation by predicted time to first token, and
- * predicts the capacity of a cell. An engine that is much slower than the median of its pool is
- * given only probe requests, or requests that still meet their targets there.
+ * predicts the capacity of a cell. The prefill engines of the cell are one pool and the decode
+ * engines another; mixed engines are in both. An engine that is much slower than the median of its
+ * pool is given only probe requests (see {@link ProbeLimiter}), or requests that still meet their
+ * targets there.
  */
 final class Placer {
   // The next prefill is sent to an engine this long before the current one ends, which covers the
@@ -81,7 +83,7 @@
 
   /**
    * Returns whether some prefill engine and some decode engine may have free capacity. This is a
-   * cheap check of slots only.
+   * cheap check that does not consider KV memory or a particular request.
    */
   boolean mayHaveCapacity(long now) {
     for (EngineState d : decodeEngines) {
@@ -122,9 +124,9 @@
           ? null
           : new Placement(null, d, 0, 0, transferNanosTo(request, d, transferLimiter));
     }
-    Placement split = placeSplit(request, suspect, transferLimiter, handover, now);
-    return split != null
-        ? split
+    Placement placement = placeOnPrefillEngine(request, suspect, transferLimiter, handover, now);
+    return placement != null
+        ? placement
         : placeOnDecodeEngine(request, suspect, transferLimiter, handover, now);
   }
 
@@ -149,8 +151,11 @@
     return new Placement(d, d, nominal, finish, finish);
   }
 
-  /** Returns the prefill engine with the earliest predicted end and a decode engine, or null. */
-  private @Nullable Placement placeSplit(
+  /**
+   * Returns the prefill engine with the earliest predicted end and a decode engine, or null. Both
+   * may be the same mixed engine.
+   */
+  private @Nullable Placement placeOnPrefillEngine(
       ReservationRequest request,
       boolean suspect,
       KvTransferLimiter transferLimiter,
@@ -168,6 +173,7 @@
       double ratio = e.currentPrefillSlowdown(now);
       double finish = e.prefillBacklogNanos(now) + nominal * ratio;
       if (isSlow(ratio, medianPrefillSlowdown) && shouldProbe(e, request, ratio, nominal, now)) {
+        // The probe is preferred to any other engine.
         finish = 0;
       } else if (ratio > MAX_NORMAL_RATIO * medianPrefillSlowdown) {
         endAfterWaiting =
@@ -238,8 +244,8 @@
   }
 
   /**
-   * Returns whether a request should probe this slow engine: a probe is allowed now, and the
-   * prefill takes at most a fifth of the time to the deadline.
+   * Returns whether a request should probe this slow engine: no prefill is pending there, the
+   * prefill takes at most a fifth of the time to the deadline, and a probe is allowed now.
    */
   private static boolean shouldProbe(
       EngineState e, ReservationRequest request, double ratio, long nominal, long now) {
@@ -310,7 +316,10 @@
     return e.tokenSlowdown.ratio() <= 1 && first <= SLOW_ENGINE_BUDGET_SHARE * left;
   }
 
-  /** Returns the cost of a decode engine, nanoseconds; lower is better. */
+  /**
+   * Returns the cost of a decode engine: its transfer time plus its occupancy, weighted with the
+   * token gap target, nanoseconds. Lower is better.
+   */
   private double score(
       EngineState e,
       ReservationRequest request,
@@ -332,7 +341,10 @@
     return sameZone ? 0 : CROSS_ZONE_PENALTY_NANOS;
   }
 
-  /** Returns the larger of token and transfer slowdown relative to the median of the pool. */
+  /**
+   * Returns the larger of token and transfer slowdown relative to the median of the pool, with the
+   * transfer slowdown limited to 4.
+   */
   private double relativeDecodeSlowdown(EngineState e) {
     return Math.max(
         e.tokenSlowdown.ratio() / medianTokenSlowdown,
@@ -373,6 +385,7 @@
   }
 
   private static void resetProbesIfRecovered(EngineState e, double relative) {
+    // A mixed engine is in both pools and may still be slow in the other one.
     if (relative <= SLOW_ENGINE_RATIO && e.upstream.role() != UpstreamRole.MIXED) {
       e.probeLimiter.engineRecovered();
     }
@@ -415,9 +428,9 @@
   }
 
   /**
-   * Decays the slowdown estimates of idle engines. If requests are refused because of an estimate,
-   * no new observation could correct it. Engines slower than normal are left out: probes show when
-   * they recover.
+   * Decays the prefill slowdown estimates of idle engines. If requests are refused because of an
+   * estimate, no new observation could correct it. Engines slower than normal are left out: probes
+   * show when they recover.
    */
   void decayIdleEstimates(long now) {
     refreshMedians(now);
@@ -429,7 +442,10 @@
     }
   }
 
-  /** Returns the time until some prefill engine can take another prefill, nanoseconds. */
+  /**
+   * Returns the time until some engine can take another prefill, nanoseconds; {@code
+   * Long.MAX_VALUE} if none is usable.
+   */
   long nanosUntilNextPrefill(long now) {
     long best = Long.MAX_VALUE;
     for (EngineState e : prefillEngines) {
--- a/core/src/main/java/org/mustardlatch/core/routing/PolicyParameters.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PolicyParameters.java
@@ -11,8 +11,9 @@
  * @param hedgingAllowed whether hedged attempts are allowed before the first token
  * @param latePrefillFactor multiple of the predicted duration after which a prefill counts as late
  * @param crossRegionWaitShare share of the first-token budget that the predicted wait in the local
- *     queue must exceed before another region is requested as well
- * @param crossRegionCostFactor factor on the bytes that cross-region routing takes from the budget
+ *     queue must exceed before a cell of another region is requested as well
+ * @param crossRegionCostFactor factor on the bytes that a request routed to another region acquires
+ *     from the {@link CrossRegionBudget}
  */
 record PolicyParameters(
     double deadlineMarginShare,
--- a/core/src/main/java/org/mustardlatch/core/routing/PrefixIndex.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/PrefixIndex.java
@@ -49,6 +49,7 @@
     }
   }
 
+  /** Removes all blocks, as the engine lost its cache. */
   void clear() {
     blocks.clear();
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/ProbeLimiter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ProbeLimiter.java
@@ -11,7 +11,10 @@
   private long intervalNanos = FIRST_INTERVAL_NANOS;
   private boolean engineSlow;
 
-  /** Returns whether a probe may be sent; the first call for a slow engine starts the interval. */
+  /**
+   * Returns whether a probe may be sent to an engine that is slow. The first call after the engine
+   * became slow starts the interval.
+   */
   boolean mayProbe(long now) {
     if (!engineSlow) {
       engineSlow = true;
--- a/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Reservation.java
@@ -7,12 +7,16 @@
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 
-/** The slots, KV memory and transfer permit reserved for one attempt in a cell. */
+/**
+ * The slots, KV memory and transfer permit reserved for one attempt in a cell. A reservation that
+ * the previous admitting node granted is adopted: it is created from a renewal and lacks the data
+ * of the request.
+ */
 final class Reservation {
   final AttemptId attempt;
 
-  /** The entry node. */
-  final HostId owner;
+  /** The entry node that requested or renewed the reservation. */
+  final HostId requester;
 
   /** Fingerprint of the request; null for an adopted reservation. */
   final @Nullable Fingerprint fingerprint;
@@ -41,8 +45,8 @@
   /** Engine whose crash report already included this attempt. */
   @Nullable EngineState countedCrashEngine;
 
-  /** Whether a permit of the transfer limiter is acquired. */
-  boolean transferReserved;
+  /** Whether a permit of the {@link KvTransferLimiter} is acquired. */
+  boolean hasTransferPermit;
 
   /** Whether the request is suspected of crashing engines. */
   boolean suspect;
@@ -63,13 +67,13 @@
 
   Reservation(
       AttemptId attempt,
-      HostId owner,
+      HostId requester,
       @Nullable Fingerprint fingerprint,
       int prefillPieces,
       int decodePieces,
       long kvBytes) {
     this.attempt = attempt;
-    this.owner = owner;
+    this.requester = requester;
     this.fingerprint = fingerprint;
     this.prefillPieces = prefillPieces;
     this.decodePieces = decodePieces;
--- a/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/ReservationRequest.java
@@ -15,10 +15,13 @@
  *
  * @param requester the entry node that sent it
  * @param maxOutputTokens output tokens to plan KV memory for
+ * @param prefixBlocks hashes of the leading blocks of the prompt, for {@link PrefixIndex}
  * @param kvSource engine that already retains the KV cache; null if a prefill is needed
- * @param firstTokenDeadlineNanos deadline of the first token, monotonic time of this node
- * @param budgetNanos time from the arrival of this request to the first-token deadline
- * @param excludedUpstreams engines that already failed the request
+ * @param firstTokenDeadlineNanos deadline of the first token, or the expiry of the KV cache if it
+ *     already exists; monotonic time of this node
+ * @param budgetNanos time from the arrival of this request to that deadline
+ * @param excludedUpstreams engines that already failed the request; used only if no other engine of
+ *     their pool is usable
  */
 record ReservationRequest(
     AttemptId attempt,
--- a/core/src/main/java/org/mustardlatch/core/routing/Topology.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/Topology.java
@@ -19,10 +19,11 @@
   /** Mean number of engines per cell; one admitting node then manages about 320 slots. */
   static final int ENGINES_PER_CELL = 16;
 
-  private record Pool(ModelId model, RegionId region) {}
+  /** Identifies the engines of one model in one region. */
+  private record ModelInRegion(ModelId model, RegionId region) {}
 
   private final Map<ModelId, Model> models = new HashMap<>();
-  private final Map<Pool, List<Cell>> pools = new HashMap<>();
+  private final Map<ModelInRegion, List<Cell>> cellsByModelInRegion = new HashMap<>();
   private final Map<String, Cell> cells = new HashMap<>();
   private final Map<UpstreamId, Cell> cellByEngine = new HashMap<>();
   private final List<RegionId> regions = new ArrayList<>();
@@ -36,19 +37,21 @@
     if (manifest != null) {
       manifest.regions().forEach(r -> regions.add(r.id()));
       manifest.models().forEach(m -> models.put(m.id(), m));
-      Map<Pool, List<Upstream>> engines = new HashMap<>();
+      Map<ModelInRegion, List<Upstream>> engines = new HashMap<>();
       for (Upstream u : manifest.upstreams()) {
         RegionId region = manifest.regionOf(u.zone()).orElse(null);
         if (u.model() != null && region != null && models.containsKey(u.model())) {
-          engines.computeIfAbsent(new Pool(u.model(), region), p -> new ArrayList<>()).add(u);
+          engines
+              .computeIfAbsent(new ModelInRegion(u.model(), region), p -> new ArrayList<>())
+              .add(u);
         }
       }
       engines.forEach(this::divideIntoCells);
     }
   }
 
-  /** Divides the engines of a pool into cells by hash, so that each engine has a stable cell. */
-  private void divideIntoCells(Pool pool, List<Upstream> engines) {
+  /** Divides the engines of a model into cells by hash, so that each engine has a stable cell. */
+  private void divideIntoCells(ModelInRegion key, List<Upstream> engines) {
     int count = Math.ceilDiv(engines.size(), ENGINES_PER_CELL);
     List<List<Upstream>> enginesByCell = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -57,16 +60,16 @@
     for (Upstream u : engines) {
       enginesByCell.get(RendezvousHash.chooseIndex(u.id().value(), count)).add(u);
     }
-    Model model = Objects.requireNonNull(models.get(pool.model()));
+    Model model = Objects.requireNonNull(models.get(key.model()));
     List<Cell> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      String name = pool.model() + "/" + pool.region() + "/" + i;
-      Cell cell = new Cell(name, model, pool.region(), enginesByCell.get(i));
+      String name = key.model() + "/" + key.region() + "/" + i;
+      Cell cell = new Cell(name, model, key.region(), enginesByCell.get(i));
       cells.put(name, cell);
       enginesByCell.get(i).forEach(u -> cellByEngine.put(u.id(), cell));
       result.add(cell);
     }
-    pools.put(pool, List.copyOf(result));
+    cellsByModelInRegion.put(key, List.copyOf(result));
   }
 
   /** Returns the model, or null if the manifest does not contain it. */
@@ -76,7 +79,7 @@
 
   /** Returns the cells of a model in a region; empty if it has no engine there. */
   List<Cell> cells(ModelId model, RegionId region) {
-    return pools.getOrDefault(new Pool(model, region), List.of());
+    return cellsByModelInRegion.getOrDefault(new ModelInRegion(model, region), List.of());
   }
 
   /** Returns all regions of the manifest. */
@@ -133,7 +136,7 @@
         });
   }
 
-  /** Returns the live nodes of all regions in the order in which they own a key. */
+  /** Returns the live nodes of all regions ranked for a key; the first is the owner of the key. */
   List<HostId> rankedOwners(String key) {
     return RendezvousHash.order(key, members.keySet(), HostId::value);
   }
--- a/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/PlacerTest.java
@@ -14,8 +14,8 @@
 import org.mustardlatch.core.model.RequestId;
 
 /**
- * Tests the choice of decode engines and their predicted capacity. Guards against idle decode
- * engines that are skipped for one slow transfer, and against capacity that does not exist.
+ * Tests the choice of decode engines and their predicted capacity. Guards against decode engines
+ * that stay idle because of one slow transfer, and against reported capacity that does not exist.
  */
 class PlacerTest {
   private static final long NOW = 100 * SECOND;
--- a/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
+++ b/core/src/test/java/org/mustardlatch/core/routing/TopologyTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void dividesAPoolIntoCellsThatContainEachEngineOnce() {
+  void dividesTheEnginesOfAModelIntoCellsThatContainEachEngineOnce() {
     Topology t = new Topology(LARGE_MANIFEST, members(8));
     List<Cell> cells = t.cells(Fixtures.MODEL, Fixtures.OSLO);
 
