--- a/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Gateway.java
@@ -131,12 +131,12 @@
         applicationHandler.openRequests() + generationHandler.openRequests());
     callerServer.drain();
     peers.leave();
-    timers.schedule(LOAD_BALANCER_REACTION_TIME, callerServer::closeIdle);
+    timers.schedule(LOAD_BALANCER_REACTION_TIME, callerServer::closeListenerAndIdleConnections);
     timers.schedule(LOAD_BALANCER_REACTION_TIME, this::pollOpenRequests);
   }
 
   private void pollOpenRequests() {
-    callerServer.closeIdle();
+    callerServer.closeListenerAndIdleConnections();
     long elapsed = timers.nanos() - drainStartNanos;
     boolean graceOver = elapsed >= settings.gracePeriod().minus(GRACE_PERIOD_MARGIN).toNanos();
     if (graceOver || applicationHandler.openRequests() + generationHandler.openRequests() == 0) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/CallerLimits.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/CallerLimits.java
@@ -7,7 +7,8 @@
  *
  * @param maxHeaderBytes maximum size of the request line and headers, in bytes
  * @param maxBodyBytes maximum size of a request body, in bytes
- * @param headerTimeout maximum time from the first byte of a request to the end of its headers
+ * @param headerTimeout maximum time from the first byte of a request to the end of its headers; the
+ *     gateway does not enforce it
  * @param idleTimeout maximum time between two requests on a connection
  */
 public record CallerLimits(
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/GatewayConfiguration.java
@@ -29,7 +29,7 @@
       for (ServiceWeight w : route.services()) {
         if (!this.services.containsKey(w.service())) {
           throw new IllegalArgumentException(
-              "route " + route.name() + " refers to unknown service " + w.service());
+              "route " + route.name() + " leads to unknown service " + w.service());
         }
       }
       byHost.computeIfAbsent(route.host(), h -> new ArrayList<>()).add(route);
--- a/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/config/InstanceTable.java
@@ -13,7 +13,7 @@
  * The registered upstreams as last read from the store. Entries that disappear because the store
  * was unreachable are kept until their owners have had time to register again.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe; the gateway uses it on the event loop only.
  */
 public final class InstanceTable {
   /** Time within which live upstreams register again after the store has become reachable. */
@@ -43,8 +43,8 @@
    * Records that the store is reachable.
    *
    * @param now monotonic time in nanoseconds
-   * @param afterOutage whether the store was reachable before; if so, removals are delayed by
-   *     {@link #REREGISTRATION_NANOS}
+   * @param afterOutage whether the store was reachable before; if so, removals within the next
+   *     {@link #REREGISTRATION_NANOS} are delayed to the end of that time
    */
   public void storeBecameReachable(long now, boolean afterOutage) {
     if (storeUnreachable && afterOutage) {
@@ -53,7 +53,7 @@
     storeUnreachable = false;
   }
 
-  /** Replaces the whole table by a complete list; see {@link #remove} for entries not listed. */
+  /** Puts the upstreams of a complete list, and removes all others as {@link #remove} does. */
   public void replace(List<Instance> listed, long now) {
     Set<String> seen = new HashSet<>();
     for (Instance i : listed) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/BufferedResponseListener.java
@@ -5,11 +5,11 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Listener for a call whose response is only used once it is complete. */
+/** Buffers the response to a call and passes it on when it is complete. */
 public abstract class BufferedResponseListener implements CallListener {
   private @Nullable BufferedResponse response;
 
-  /** Creates a listener without a response. */
+  /** Creates a listener that has not received a response yet. */
   protected BufferedResponseListener() {}
 
   /** Handles the complete response. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallListener.java
@@ -5,7 +5,8 @@
 
 /**
  * Receives the response to a call: one head, any number of body parts and the end, or a failure at
- * any point. No method is called after the end, a failure or a cancellation.
+ * any point. Called on the event loop; no method is called after the end, a failure or a
+ * cancellation.
  */
 public interface CallListener {
   /** Called when the request has been handed to a connection to be sent. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallRequest.java
@@ -16,8 +16,9 @@
    *
    * @param head method, target and headers; the Content-Length is set when the request is sent
    * @param body the whole body; not copied
-   * @param repeatable whether it may be sent again if a kept-alive connection turns out to be
-   *     closed; other requests only use kept-alive connections that were in use a moment ago
+   * @param repeatable whether the sender can repeat it after a failure ({@link UpstreamPool} itself
+   *     does not); other requests only use kept-alive connections that were idle for a short time,
+   *     since the upstream may be closing the others
    * @param responseMatcher tests whether a response belongs to this request; others on the
    *     connection are skipped
    */
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerConnection.java
@@ -37,9 +37,13 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** A caller's connection. Requests are processed one at a time; pipelined requests are queued. */
+/**
+ * A caller's connection. Requests are processed one at a time; pipelined requests are queued. Used
+ * on the event loop only.
+ */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-  // Decoded parts of pipelined requests; reading is paused while more than this are queued.
+  // Decoded parts of pipelined requests; reading is paused when more than this are queued, until
+  // the queue is empty.
   private static final int MAX_QUEUED_PARTS = 64;
 
   private final CallerServer server;
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/CallerServer.java
@@ -20,7 +20,8 @@
 /** HTTP server for callers. All of its work is done on one event loop. */
 public final class CallerServer {
   /**
-   * Idle connections stay open longer than the idle timeout by this, so that callers close first.
+   * Time for which an idle connection stays open after the idle timeout, so that callers close
+   * first.
    */
   static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
@@ -89,7 +90,7 @@
   }
 
   /** Stops accepting connections and closes those without a request in progress. */
-  public void closeIdle() {
+  public void closeListenerAndIdleConnections() {
     if (listener != null) {
       var unused = listener.close();
     }
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamConnection.java
@@ -20,7 +20,7 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** A connection to an upstream that carries one call at a time. */
+/** A connection to an upstream that carries one call at a time. Used on the event loop only. */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
   /** Keep-alive timeout that is assumed if the upstream states none. */
   private static final Duration DEFAULT_KEEP_ALIVE = Duration.ofSeconds(4);
@@ -33,7 +33,7 @@
   private boolean skippingResponse;
   private boolean headReceived;
   private boolean closeAfterResponse;
-  private boolean broken;
+  private boolean closed;
   private long keepAliveNanos = DEFAULT_KEEP_ALIVE.toNanos();
   private long idleSinceNanos;
 
@@ -46,12 +46,13 @@
   /** Returns whether a call may use this idle connection, given the current time in nanoseconds. */
   boolean usable(boolean repeatable, long now) {
     long idle = now - idleSinceNanos;
-    // The upstream closes by its own clock, and the close takes time to arrive.
+    // The upstream measures its timeout by its own clock, and its close takes time to arrive, so
+    // only a part of the timeout is used.
     long limit =
         repeatable
             ? keepAliveNanos * 3 / 4
             : Math.min(keepAliveNanos / 4, pool.maxIdleNanosForNonRepeatable());
-    return channel.isActive() && !broken && idle < limit;
+    return channel.isActive() && !closed && idle < limit;
   }
 
   void send(Call next, CallRequest request) {
@@ -76,7 +77,7 @@
 
   void close() {
     call = null;
-    broken = true;
+    closed = true;
     var unused = channel.close();
   }
 
@@ -97,7 +98,7 @@
   private void handleHead(HttpResponse r) {
     Call c = call;
     if (r.decoderResult().isFailure()) {
-      failCall(CallFailure.GARBLED, "not an HTTP response");
+      failCall(CallFailure.GARBLED, "no HTTP response");
       return;
     }
     if (c == null) {
@@ -141,11 +142,11 @@
 
   private void handleContent(HttpContent content) {
     Call c = call;
-    if (c == null || broken) {
+    if (c == null || closed) {
       return;
     }
     if (content.decoderResult().isFailure()) {
-      failCall(CallFailure.GARBLED, "malformed response body");
+      failCall(CallFailure.GARBLED, "broken body");
       return;
     }
     if (skippingResponse) {
@@ -199,7 +200,10 @@
     failCall(CallFailure.BROKEN, String.valueOf(cause.getMessage()));
   }
 
-  /** Decodes responses without pairing them with requests, since stray responses would break it. */
+  /**
+   * Decodes responses without pairing them with requests, since a response that belongs to no
+   * request would shift the pairs.
+   */
   static final class ResponseDecoder extends io.netty.handler.codec.http.HttpResponseDecoder {
     private boolean noBody;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/UpstreamPool.java
@@ -14,7 +14,10 @@
 import java.util.Deque;
 import org.mustardlatch.core.time.MonotonicClock;
 
-/** Pool of connections to one run of one upstream. Used on the event loop only. */
+/**
+ * Pool of connections to one address: to one run of an upstream, or to the platform's store. Used
+ * on the event loop only.
+ */
 public final class UpstreamPool {
   private final EventLoop loop;
   private final MonotonicClock clock;
--- a/gateway/src/main/java/org/mustardlatch/gateway/http/package-info.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/http/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP connections to callers and upstreams. */
+/** HTTP server for callers, and HTTP client for upstreams and the platform's store. */
 @NullMarked
 package org.mustardlatch.gateway.http;
 
--- a/gateway/src/main/java/org/mustardlatch/gateway/log/LogEvent.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/log/LogEvent.java
@@ -1,9 +1,9 @@
 package org.mustardlatch.gateway.log;
 
 /**
- * Numbered log events. docs/EVENTS.md explains each event and the action for an operator. Numbers
- * are never reused. Ranges: 1000 daemon, 2000 routing, 3000 peers, 4000 manifest, 5000 object
- * service and ledger, 6000 upstreams, 7000 callers, 8000 the data path of the gateway.
+ * Numbered log events. docs/EVENTS.md explains what each event means and what an operator should
+ * do. Numbers are never reused. Ranges: 1000 daemon, 2000 routing, 3000 peers, 4000 manifest, 5000
+ * object service and ledger, 6000 upstreams, 7000 callers, 8000 the data path of the gateway.
  */
 public enum LogEvent {
   DAEMON_STARTING(1001, Level.INFO, "host {} starts in zone {} with incarnation {}"),
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/GatewayNode.java
@@ -33,14 +33,14 @@
   private final StoreWatcher<Instance> instances;
 
   /** Creates a node that does not run before {@link #start}. */
-  public GatewayNode(PlatformComponents ports) {
+  public GatewayNode(PlatformComponents components) {
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     TimerService timers = new NettyTimerService(loop);
     RandomGenerator random =
-        new SplittableRandom(System.nanoTime() ^ ports.settings().host().hashCode());
+        new SplittableRandom(System.nanoTime() ^ components.settings().host().hashCode());
     FleetState fleet = new FleetState(loop, timers);
-    GatewaySettings settings = ports.settings();
+    GatewaySettings settings = components.settings();
     // Processes of a host start one after another, so the wall-clock time distinguishes them.
     long incarnation = System.currentTimeMillis();
     InetSocketAddress peerAddress = settings.peerAddress();
@@ -49,18 +49,20 @@
             ? new NoPeers(settings)
             : new NetworkPeers(settings, peerAddress, incarnation, timers, random, group, loop);
     gateway =
-        new Gateway(settings, loop, timers, fleet, ports.protocol(), peers, incarnation, random);
-    var pool = new UpstreamPool(loop, timers, ports.store(), STORE_CONNECT_TIMEOUT, Duration.ZERO);
+        new Gateway(
+            settings, loop, timers, fleet, components.protocol(), peers, incarnation, random);
+    var pool =
+        new UpstreamPool(loop, timers, components.store(), STORE_CONNECT_TIMEOUT, Duration.ZERO);
     configurations =
         new StoreWatcher<>(
             timers,
-            new HttpStoreReader<>(timers, pool, ports.configuration()),
+            new HttpStoreReader<>(timers, pool, components.configuration()),
             fleet.configurationListener(),
             random);
     instances =
         new StoreWatcher<>(
             timers,
-            new HttpStoreReader<>(timers, pool, ports.instances()),
+            new HttpStoreReader<>(timers, pool, components.instances()),
             fleet.instanceListener(),
             random);
   }
@@ -75,7 +77,10 @@
         });
   }
 
-  /** Starts draining: the node accepts no new requests. Returns immediately. */
+  /**
+   * Starts draining: the readiness check fails, and new connections are accepted only until the
+   * load balancer has had time to react. Returns immediately.
+   */
   public void drain() {
     loop.execute(gateway::drain);
   }
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/PlatformComponents.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/PlatformComponents.java
@@ -12,7 +12,7 @@
  *
  * @param settings settings of this node, read at its start
  * @param store address of the platform's store
- * @param protocol encodes and decodes the headers of callers and upstreams
+ * @param protocol reads and writes the HTTP headers and bodies that the platform defines
  * @param configuration codec of the stored configuration
  * @param instances codec of the entries by which upstreams register
  */
--- a/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/node/Signals.java
@@ -12,7 +12,8 @@
   private Signals() {}
 
   /**
-   * Runs a task for each signal of the given name, instead of the default action.
+   * Runs a task for each signal of the given name, on a thread of the JDK, instead of the default
+   * action.
    *
    * @param name signal name without the prefix SIG, for example {@code HUP}
    * @throws MustardlatchException if this JDK does not support signal handlers
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/HttpStoreReader.java
@@ -82,7 +82,7 @@
       if (call != null) {
         call.cancel();
       }
-      finish(new StoreResponse.Unavailable<>("no response in time"));
+      finish(new StoreResponse.Unavailable<>("no answer in time"));
     }
 
     private void finish(StoreResponse<T> result) {
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreCodec.java
@@ -12,7 +12,7 @@
    */
   HttpRequest listRequest(@Nullable String after);
 
-  /** Returns the request that waits for changes after a revision. */
+  /** Returns the request that waits for changes after a revision, at most for the given time. */
   HttpRequest watchRequest(long revision, Duration wait);
 
   /** Decodes the response to a list; an invalid one becomes {@link StoreResponse.Unavailable}. */
--- a/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/store/StoreWatcher.java
@@ -9,13 +9,13 @@
 
 /**
  * Follows the objects of one kind: lists them once and watches for changes from that revision.
- * After an error it resumes from the last revision; it lists again if the history has expired.
+ * After an error it resumes from the last revision; it lists again if the history has expired. Used
+ * on the thread of the timer service.
  */
 public final class StoreWatcher<T> {
   // Each call is billed, which favors a long wait. But a silently broken connection is only
-  // detected
-  // when a call times out, and changes must be applied within seconds after the connection
-  // recovers.
+  // detected when a call times out, and changes must be applied within seconds after the
+  // connection recovers.
   private static final Duration WATCH_WAIT = Duration.ofMillis(2_500);
   private static final Duration FIRST_BACKOFF = Duration.ofMillis(100);
   private static final int MAX_BACKOFF_DOUBLINGS = 3;
--- a/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
+++ b/gateway/src/test/java/org/mustardlatch/gateway/store/StoreWatcherTest.java
@@ -17,7 +17,7 @@
   private final VirtualTimerService timers = new VirtualTimerService();
   private final List<String> notifications = new ArrayList<>();
   private final List<String> readerCalls = new ArrayList<>();
-  private Consumer<StoreResponse<String>> pendingResponse = a -> {};
+  private Consumer<StoreResponse<String>> pendingConsumer = response -> {};
   private Duration requestedWait = Duration.ZERO;
 
   @BeforeEach
@@ -25,16 +25,17 @@
     StoreReader<String> reader =
         new StoreReader<>() {
           @Override
-          public void list(@Nullable String after, Consumer<StoreResponse<String>> a) {
+          public void list(@Nullable String after, Consumer<StoreResponse<String>> consumer) {
             readerCalls.add("list " + after);
-            pendingResponse = a;
+            pendingConsumer = consumer;
           }
 
           @Override
-          public void watch(long revision, Duration wait, Consumer<StoreResponse<String>> a) {
+          public void watch(
+              long revision, Duration wait, Consumer<StoreResponse<String>> consumer) {
             readerCalls.add("watch " + revision);
             requestedWait = wait;
-            pendingResponse = a;
+            pendingConsumer = consumer;
           }
         };
     StoreListener<String> listener =
@@ -72,8 +73,8 @@
 
   @Test
   void joinsThePagesOfAListAndWatchesFromItsRevision() {
-    pendingResponse.accept(page("b", "a", "b"));
-    pendingResponse.accept(page(null, "c"));
+    pendingConsumer.accept(page("b", "a", "b"));
+    pendingConsumer.accept(page(null, "c"));
 
     assertThat(notifications).containsExactly("reachable false", "listed [a, b, c]").inOrder();
     assertThat(readerCalls).containsExactly("list null", "list b", "watch 7").inOrder();
@@ -81,10 +82,10 @@
 
   @Test
   void resumesFromTheLastRevisionAfterAnOutage() {
-    pendingResponse.accept(page(null, "a"));
-    pendingResponse.accept(new StoreResponse.Unavailable<>("status 503"));
+    pendingConsumer.accept(page(null, "a"));
+    pendingConsumer.accept(new StoreResponse.Unavailable<>("status 503"));
     timers.advance(Duration.ofSeconds(1));
-    pendingResponse.accept(
+    pendingConsumer.accept(
         new StoreResponse.Changes<>(List.of(new StoreResponse.Change.Removed<>("a")), 9));
 
     assertThat(notifications)
@@ -96,15 +97,15 @@
 
   @Test
   void listsAgainWhenTheHistoryHasExpired() {
-    pendingResponse.accept(page(null, "a"));
-    pendingResponse.accept(new StoreResponse.HistoryExpired<>());
+    pendingConsumer.accept(page(null, "a"));
+    pendingConsumer.accept(new StoreResponse.HistoryExpired<>());
 
     assertThat(readerCalls).containsExactly("list null", "watch 7", "list null").inOrder();
   }
 
   @Test
   void limitsTheWatchWaitToDetectASilentConnection() {
-    pendingResponse.accept(page(null, "a"));
+    pendingConsumer.accept(page(null, "a"));
 
     // A new version must be applied within 2.5 s after it is stored, or 4 s after an outage.
     assertThat(requestedWait).isAtMost(Duration.ofMillis(2_500));
