--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/Authenticator.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/Authenticator.java
@@ -25,8 +25,7 @@
     if (authorization == null
         || !authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
       throw new MustardlatchException(
-          ErrorCode.UNAUTHENTICATED,
-          "header Authorization must be \"Bearer\" followed by an API key");
+          ErrorCode.UNAUTHENTICATED, "header Authorization must be \"Bearer\" and an API key");
     }
     String key = authorization.substring(SCHEME.length()).strip();
     String digest = Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString();
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
@@ -82,7 +82,7 @@
     server.stop();
   }
 
-  /** Returns the number of generation and pass-through requests that are not yet complete. */
+  /** Returns the number of generation and pass-through requests whose handler has not returned. */
   public int requestsInProgress() {
     return requestsInProgress.get();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionFormatter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionFormatter.java
@@ -59,11 +59,11 @@
     return completion.toString();
   }
 
-  private ObjectNode createObject(String object) {
+  private ObjectNode createObject(String objectType) {
     return JsonNodeFactory.instance
         .objectNode()
         .put("id", id)
-        .put("object", object)
+        .put("object", objectType)
         .put("created", createdSeconds)
         .put("model", input.model().value());
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CompletionWriter.java
@@ -37,8 +37,9 @@
   /**
    * Writes the response and blocks until it is complete or has failed.
    *
-   * @return whether the output was complete
-   * @throws RefusedException if the request failed before any byte was written
+   * @return {@link WriteOutcome#FAILED} if a stream broke off after its first event
+   * @throws RefusedException if the request failed before any byte was written; a response that is
+   *     not streamed is written as a whole at its end
    * @throws IOException if the caller has disconnected
    */
   WriteOutcome write() throws IOException, InterruptedException {
@@ -49,7 +50,7 @@
     return exchange.input().stream() ? writeStream(first) : writeCompletion(first);
   }
 
-  /** Returns the number of generated tokens that were written or collected so far. */
+  /** Returns the number of tokens in the chunks that were read from the sink so far. */
   int tokenCount() {
     return tokenCount;
   }
@@ -59,14 +60,14 @@
     String finishReason = "stop";
     for (SinkEvent event = first; ; event = awaitNext()) {
       switch (event) {
-        case SinkEvent.ChunkAppended piece -> {
-          text.append(piece.chunk().text());
-          tokenCount += piece.chunk().tokens();
-          finishReason = finishReasonOr(piece.chunk(), finishReason);
+        case SinkEvent.ChunkAppended appended -> {
+          text.append(appended.chunk().text());
+          tokenCount += appended.chunk().tokens();
+          finishReason = finishReasonOr(appended.chunk(), finishReason);
         }
         case SinkEvent.Failed failed ->
             throw new RefusedException(failed.code(), failed.detail(), failed.retryAfter());
-        case SinkEvent.Completed end -> {
+        case SinkEvent.Completed completed -> {
           ctx.contentType("application/json")
               .result(formatter.formatCompletion(text.toString(), finishReason, tokenCount));
           return WriteOutcome.COMPLETE;
@@ -81,16 +82,16 @@
     OutputStream out = ctx.res().getOutputStream();
     for (SinkEvent event = first; ; event = nextFlushingIfIdle(out)) {
       switch (event) {
-        case SinkEvent.ChunkAppended piece -> {
-          tokenCount += piece.chunk().tokens();
-          writeEvent(out, formatter.formatChunk(piece.chunk()));
+        case SinkEvent.ChunkAppended appended -> {
+          tokenCount += appended.chunk().tokens();
+          writeEvent(out, formatter.formatChunk(appended.chunk()));
         }
         case SinkEvent.Failed failed -> {
           writeEvent(out, ErrorResponseWriter.toJson(failed.code(), failed.detail()));
           out.flush();
           return WriteOutcome.FAILED;
         }
-        case SinkEvent.Completed end -> {
+        case SinkEvent.Completed completed -> {
           if (exchange.input().usageInStream()) {
             writeEvent(out, formatter.formatUsage(tokenCount));
           }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ContentHashes.java
@@ -9,7 +9,11 @@
 import org.mustardlatch.core.model.Fingerprint;
 import org.mustardlatch.daemon.routing.GenerationInput;
 
-/** Computes hashes of a request's content. All nodes compute the same hash for equal content. */
+/**
+ * Computes hashes of a request's content: a fingerprint, by which requests that crash engines are
+ * recognized, and prefix hashes, by which engines with a matching prefix cache are found. All nodes
+ * compute the same hash for equal content.
+ */
 final class ContentHashes {
   /** Size of a prefix block: 256 tokens at an estimated 4 bytes each. */
   private static final int PREFIX_BLOCK_BYTES = 1024;
@@ -24,7 +28,7 @@
 
   private ContentHashes() {}
 
-  /** Returns the SHA-256 digest of model, prompt and sampling parameters. */
+  /** Returns the SHA-256 digest of model, prompt and sampling parameters, whatever their order. */
   static Fingerprint fingerprint(GenerationInput input) {
     ObjectNode content = input.body().objectNode();
     content.setAll(input.body());
@@ -41,7 +45,7 @@
     String field = input.chat() ? "messages" : "prompt";
     String text = input.body().path(field).toString();
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    List<Long> blocks = new ArrayList<>();
+    List<Long> hashes = new ArrayList<>();
     long hash = BLOCK_HASH.hashString(input.model().value(), StandardCharsets.UTF_8).asLong();
     for (int offset = 0;
         offset + PREFIX_BLOCK_BYTES <= bytes.length;
@@ -53,8 +57,8 @@
               .putBytes(bytes, offset, PREFIX_BLOCK_BYTES)
               .hash()
               .asLong();
-      blocks.add(hash);
+      hashes.add(hash);
     }
-    return blocks;
+    return hashes;
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -21,8 +21,9 @@
  */
 final class GenerationHandler {
   /**
-   * Final deadline of the whole response as a multiple of its latency target, after which the
-   * response is assumed to be of no use to the caller. {@link #FINAL_DEADLINE_MARGIN} is added.
+   * Time until the final deadline, as a multiple of the latency target of the whole response;
+   * {@link #FINAL_DEADLINE_MARGIN} is added. At the final deadline the request is cancelled,
+   * because its response is assumed to be of no use to the caller any more.
    */
   private static final int FINAL_DEADLINE_FACTOR = 4;
 
@@ -50,6 +51,7 @@
   /**
    * Handles one request and returns when the response is written.
    *
+   * @param chat whether it is a chat completion request
    * @throws IOException if the caller has disconnected
    */
   void handle(Context ctx, RequestId id, boolean chat) throws IOException, InterruptedException {
@@ -60,7 +62,8 @@
     GenerationInput input = GenerationInputParser.parse(body, chat, activeManifest);
     try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
       GenerationRequest request = createRequest(id, workspace, input, body.length, activeManifest);
-      routeAndRespond(ctx, new GenerationExchange(request, input, new ResponseSink(metrics.staleChunks())));
+      routeAndRespond(
+          ctx, new GenerationExchange(request, input, new ResponseSink(metrics.droppedChunks())));
     }
   }
 
@@ -82,7 +85,7 @@
       RequestId id, Workspace workspace, GenerationInput input, int bodyBytes, Manifest manifest) {
     long nowNanos = System.nanoTime();
     Model model = manifest.model(input.model()).orElseThrow();
-    Duration responseTime =
+    Duration timeToFinalDeadline =
         model
             .firstTokenTarget()
             .plus(model.tokenGapTarget().multipliedBy(input.maxTokens()))
@@ -98,6 +101,6 @@
         ContentHashes.prefixBlockHashes(input),
         ContentHashes.fingerprint(input),
         nowNanos + model.firstTokenTarget().toNanos(),
-        nowNanos + responseTime.toNanos());
+        nowNanos + timeToFinalDeadline.toNanos());
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationInputParser.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationInputParser.java
@@ -33,12 +33,12 @@
     rejectUnsupported(body);
     Model model = findModel(body, manifest);
     JsonNode prompt = chat ? requireMessages(body) : requirePrompt(body);
-    boolean tokenIds = prompt.isArray() && !chat;
-    int promptTokens = tokenIds ? prompt.size() : estimateTokens(prompt);
+    boolean promptIsTokenIds = prompt.isArray() && !chat;
+    int promptTokens = promptIsTokenIds ? prompt.size() : estimateTokens(prompt);
     if (promptTokens > model.maxPromptTokens()) {
       throw new MustardlatchException(
           ErrorCode.PROMPT_TOO_LONG,
-          "prompt has about %d tokens, model \"%s\" accepts at most %d"
+          "prompt has about %d tokens, model \"%s\" takes %d"
               .formatted(promptTokens, model.id(), model.maxPromptTokens()));
     }
     return new GenerationInput(
@@ -47,7 +47,7 @@
         body,
         readBoolean(body, "stream"),
         body.path("stream_options").path("include_usage").asBoolean(),
-        tokenIds,
+        promptIsTokenIds,
         Math.max(1, promptTokens),
         readMaxTokens(body, chat));
   }
@@ -56,7 +56,7 @@
     // A caller that can refer to a KV cache could read the prompt of another caller.
     if (body.has("kv_transfer_params")) {
       throw new MustardlatchException(
-          ErrorCode.UNKNOWN_FIELD, "field \"kv_transfer_params\" must not be set by callers");
+          ErrorCode.UNKNOWN_FIELD, "field \"kv_transfer_params\" is not for callers");
     }
     requireOne(body, "n");
     requireOne(body, "best_of");
@@ -69,8 +69,7 @@
   private static void requireOne(ObjectNode body, String field) {
     JsonNode value = body.path(field);
     if (!value.isMissingNode() && !value.isNull() && value.asInt() != 1) {
-      throw invalidArgument(
-          "field \"" + field + "\" must be 1: only one completion per request is supported");
+      throw invalidArgument("field \"" + field + "\" must be 1: a request has one answer");
     }
   }
 
@@ -94,12 +93,12 @@
       return prompt;
     }
     if (!prompt.isArray() || prompt.isEmpty()) {
-      throw invalidArgument("field \"prompt\" must be a string or a list of token ids");
+      throw invalidArgument("field \"prompt\" must be a text or a list of token ids");
     }
     for (JsonNode id : prompt) {
       if (!id.isIntegralNumber()) {
         throw invalidArgument(
-            "field \"prompt\" must contain one prompt: a string or a list of token ids");
+            "field \"prompt\" must hold one prompt: a text or a list of token ids");
       }
     }
     return prompt;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/KeyedRequestExecutor.java
@@ -28,8 +28,10 @@
 import org.mustardlatch.daemon.upstream.ApplicationResult.Responded;
 
 /**
- * Executes requests with an idempotency key at most once. The ledger decides whether a request may
- * be dispatched; this class then sends it exactly once and reports the outcome to the ledger.
+ * Executes requests with an idempotency key at most once. The ledger, which stores a record of each
+ * key, decides whether a request may be dispatched; this class then sends it to the application
+ * service at most once and reports the outcome to the ledger. Safe for use by several threads; the
+ * thread of a request blocks until its response is known.
  */
 final class KeyedRequestExecutor {
   static final String KEY_HEADER = "Idempotency-Key";
@@ -48,11 +50,13 @@
   }
 
   /**
-   * Executes a request and returns the response of the only execution under its key, which may be
-   * the recorded response of an earlier request. Blocks until the outcome is decided.
+   * Executes a request and returns the response of the only execution under its key. This may be
+   * the recorded response of an earlier request, or, if the outcome is unknown, the response of the
+   * service at the outcome path of the route. Blocks until the ledger has decided and the dispatch,
+   * if any, has ended.
    *
-   * @throws MustardlatchException if the request was not executed, is still being executed for an
-   *     earlier call, or its outcome is unknown
+   * @throws MustardlatchException if the request was not executed, an earlier request with the key
+   *     is still in progress, the outcome is unknown, or the key is refused
    */
   Responded execute(
       Context ctx,
@@ -63,25 +67,26 @@
       throws InterruptedException {
     String key = requireKey(ctx.header(KEY_HEADER));
     long deadlineNanos = System.nanoTime() + REQUEST_TIMEOUT.toNanos();
-    KeyedRequestHandle call = ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
+    KeyedRequestHandle handle =
+        ledger.begin(workspace.id(), key, requestDigest(request), deadlineNanos);
     @Nullable Responded ownResponse = null;
-    if (awaitDispatchPermission(call, new CallerConnection(ctx)) && call.claimDispatch()) {
+    if (awaitDispatchPermission(handle, new CallerConnection(ctx)) && handle.claimDispatch()) {
       ApplicationResult result =
           applications.sendOnce(upstream, request, remainingTime(deadlineNanos));
       if (result instanceof ApplicationResult.Unknown) {
         result =
             lookUpOutcome(route, upstream, key).map(ApplicationResult.class::cast).orElse(result);
       }
-      ownResponse = result instanceof Responded answered ? answered : null;
-      var unused = call.finish(toDispatchOutcome(result));
+      ownResponse = result instanceof Responded responded ? responded : null;
+      var unused = handle.finish(toDispatchOutcome(result));
     }
     return toResponse(
-        awaitReply(call.response()), ownResponse, () -> lookUpOutcome(route, upstream, key));
+        awaitResponse(handle.response()), ownResponse, () -> lookUpOutcome(route, upstream, key));
   }
 
   private static Responded toResponse(
-      KeyedResponse reply, @Nullable Responded ownResponse, OutcomeLookup lookup) {
-    return switch (reply) {
+      KeyedResponse response, @Nullable Responded ownResponse, OutcomeLookup lookup) {
+    return switch (response) {
       case KeyedResponse.Ran r -> {
         if (ownResponse == null) {
           throw outcomeUnknown();
@@ -93,9 +98,7 @@
           throw new RefusedException(r.code(), "not run: " + r.code().wireName(), r.retryAfter());
       case KeyedResponse.InProgress r ->
           throw new RefusedException(
-              ErrorCode.IN_PROGRESS,
-              "the first request with this key is still in progress",
-              r.retryAfter());
+              ErrorCode.IN_PROGRESS, "the first call with this key is in progress", r.retryAfter());
       case KeyedResponse.OutcomeUnknown r ->
           lookup.find().orElseThrow(KeyedRequestExecutor::outcomeUnknown);
       case KeyedResponse.KeyReused r ->
@@ -103,7 +106,7 @@
               ErrorCode.IDEMPOTENCY_KEY_REUSED, "the key was used for another request");
       case KeyedResponse.KeyExpired r ->
           throw new MustardlatchException(
-              ErrorCode.IDEMPOTENCY_KEY_EXPIRED, "the key is older than the retention period");
+              ErrorCode.IDEMPOTENCY_KEY_EXPIRED, "the key is older than the retention");
     };
   }
 
@@ -121,13 +124,17 @@
 
   private static DispatchOutcome toDispatchOutcome(ApplicationResult result) {
     return switch (result) {
-      case Responded a -> new DispatchOutcome.Completed(a.status(), RecordedResponseCodec.encode(a));
+      case Responded r ->
+          new DispatchOutcome.Completed(r.status(), RecordedResponseCodec.encode(r));
       case ApplicationResult.NotSent n -> new DispatchOutcome.NotSent();
       case ApplicationResult.Unknown u -> new DispatchOutcome.Unknown();
     };
   }
 
-  /** Requests the outcome of a key from the service, if the route has an outcome path. */
+  /**
+   * Returns the response of the service at the outcome path of the route for a key; empty if the
+   * route has no such path or no response with a 2xx status arrives.
+   */
   private Optional<Responded> lookUpOutcome(Route route, UpstreamId upstream, String key) {
     String path = route.outcomePath();
     if (path == null) {
@@ -135,9 +142,9 @@
     }
     ApplicationRequest request =
         new ApplicationRequest("GET", path + "/" + key, Map.of(), ByteString.EMPTY);
-    return applications.send(upstream, request, LOOKUP_TIMEOUT) instanceof Responded answered
-            && answered.status() / 100 == 2
-        ? Optional.of(answered)
+    return applications.send(upstream, request, LOOKUP_TIMEOUT) instanceof Responded responded
+            && responded.status() / 100 == 2
+        ? Optional.of(responded)
         : Optional.empty();
   }
 
@@ -145,14 +152,16 @@
    * Waits until the ledger decides whether the request may be dispatched. Returns false if it must
    * not be dispatched or the caller has disconnected.
    */
-  private static boolean awaitDispatchPermission(KeyedRequestHandle call, CallerConnection connection)
-      throws InterruptedException {
+  private static boolean awaitDispatchPermission(
+      KeyedRequestHandle handle, CallerConnection connection) throws InterruptedException {
     while (true) {
       try {
-        return call.dispatchPermitted().get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        return handle
+            .dispatchPermitted()
+            .get(CONNECTION_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
         if (connection.isClosed()) {
-          call.callerDisconnected();
+          handle.callerDisconnected();
           return false;
         }
       } catch (ExecutionException e) {
@@ -161,10 +170,10 @@
     }
   }
 
-  private static KeyedResponse awaitReply(CompletableFuture<KeyedResponse> reply)
+  private static KeyedResponse awaitResponse(CompletableFuture<KeyedResponse> response)
       throws InterruptedException {
     try {
-      return reply.get();
+      return response.get();
     } catch (ExecutionException e) {
       throw new IllegalStateException(e);
     }
@@ -180,6 +189,7 @@
     return header;
   }
 
+  /** Returns a digest by which the ledger detects that a key is reused for another request. */
   private static String requestDigest(ApplicationRequest request) {
     return Hashing.sha256()
         .newHasher()
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -23,14 +23,16 @@
 import org.mustardlatch.daemon.upstream.EndToEndHeaders;
 
 /**
- * Forwards requests on pass-through routes to application services. Requests on idempotent routes
- * may be retried on another upstream; all others are executed at most once under their idempotency
- * key.
+ * Forwards requests on pass-through routes to application services, the upstreams of the route.
+ * Requests on idempotent routes may be retried on another upstream; all others are executed at most
+ * once under their idempotency key. Each request blocks a virtual thread of its own until the
+ * service has responded.
  */
 final class PassThroughHandler {
   /**
-   * Timeout of one attempt. Services respond to lookups within milliseconds; after this time
-   * another upstream is tried instead.
+   * Timeout of one attempt on an idempotent route. Services respond to lookups within milliseconds;
+   * after this time the next upstream is tried instead, as far as there is one and the retry budget
+   * allows it.
    */
   private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
 
@@ -89,9 +91,9 @@
       }
       ApplicationResult result = applications.send(upstreams.get(i), request, ATTEMPT_TIMEOUT);
       switch (result) {
-        case Responded a -> {
-          if (a.status() != SERVICE_UNAVAILABLE || i == upstreams.size() - 1) {
-            return a;
+        case Responded r -> {
+          if (r.status() != SERVICE_UNAVAILABLE || i == upstreams.size() - 1) {
+            return r;
           }
         }
         case ApplicationResult.NotSent n -> reason = n.reason();
@@ -100,11 +102,14 @@
     }
     throw new RefusedException(
         ErrorCode.UPSTREAM_UNAVAILABLE,
-        "no upstream of the route responded: " + reason,
+        "no upstream of the route answered: " + reason,
         RETRY_AFTER);
   }
 
-  /** Returns the upstreams that accept new work, starting with a different one at each call. */
+  /**
+   * Returns the upstreams that accept new work, in an order that starts with the next one at each
+   * call. An upstream that is leaving (draining) accepts none.
+   */
   private List<UpstreamId> rotateUpstreams(Manifest activeManifest, Route route) {
     List<UpstreamId> available =
         route.upstreams().stream()
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughRetryBudget.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughRetryBudget.java
@@ -5,7 +5,7 @@
  * cannot multiply the load of overloaded or failing services. Safe for use by several threads.
  */
 final class PassThroughRetryBudget {
-  /** Largest number of retries that the budget can accumulate. */
+  /** Largest number of retries that the budget can accumulate, and its initial balance. */
   private static final double MAX_BALANCE = 10;
 
   private double balance = MAX_BALANCE;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/ReadinessCheck.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/ReadinessCheck.java
@@ -15,10 +15,11 @@
   }
 
   /**
-   * Checks that the node accepts new requests. It still does so in phase {@code DRAINING}.
+   * Checks that the node accepts new requests. Unlike {@code /readyz} of the operator interface, it
+   * accepts them also in phase {@code DRAINING}, until the load balancer has stopped sending them.
    *
    * @throws RefusedException with {@link ErrorCode#NOT_READY} while the node is starting, or with
-   *     {@link ErrorCode#DRAINING} while it is stopping
+   *     {@link ErrorCode#DRAINING} once it refuses new requests before its stop
    */
   void requireAccepting() {
     switch (state.phase()) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RefusedException.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RefusedException.java
@@ -4,7 +4,7 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** An error that the caller may retry after a given time. */
+/** An error for a caller, with the time to wait before a retry for the Retry-After header. */
 final class RefusedException extends MustardlatchException {
   private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRateLimiter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/RequestRateLimiter.java
@@ -6,10 +6,10 @@
 @FunctionalInterface
 public interface RequestRateLimiter {
   /**
-   * Acquires a permit for one request of a workspace. May block while a lease is requested,
-   * normally well under 1 s.
+   * Acquires a permit for one request of a workspace. May block, normally well under 1 s, while
+   * this node requests a lease on a part of the workspace's rate.
    *
-   * @return false if the workspace has reached its rate limit
+   * @return false if the workspace has reached its rate limit or no lease was granted in time
    */
   boolean tryAcquire(WorkspaceId workspace);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/StrictJson.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/StrictJson.java
@@ -56,7 +56,7 @@
     try {
       return MAPPER.writeValueAsBytes(MAPPER.treeToValue(node, Object.class));
     } catch (JsonProcessingException e) {
-      throw new MustardlatchException(ErrorCode.INTERNAL, "value cannot be serialized as JSON", e);
+      throw new MustardlatchException(ErrorCode.INTERNAL, "value can't be written as JSON", e);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/WorkspaceLimiter.java
@@ -10,7 +10,7 @@
 
 /**
  * Limits the requests of a workspace: their rate across the whole fleet and the number in progress
- * on this node.
+ * on this node. Safe for use by several threads.
  */
 final class WorkspaceLimiter {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
@@ -23,7 +23,8 @@
   }
 
   /**
-   * Acquires a slot for one request; the caller must release it with {@link Slot#close}.
+   * Acquires a slot for one request, to be released with {@link Slot#close}. May block for the rate
+   * limiter, see {@link RequestRateLimiter#tryAcquire}.
    *
    * @throws RefusedException with {@link ErrorCode#RATE_LIMITED} if the workspace has reached its
    *     limit of concurrent requests or its rate limit
@@ -54,7 +55,7 @@
     return count::decrementAndGet;
   }
 
-  /** The permission for one request in progress; {@link #close} releases it. */
+  /** One of the concurrent requests of a workspace; {@link #close} releases it. */
   @FunctionalInterface
   interface Slot extends AutoCloseable {
     @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -35,8 +35,8 @@
   /**
    * Creates an inspector of the given components.
    *
-   * @param componentStates returns the internal state of the decision-making components by name,
-   *     for a dump; may block for 2 s
+   * @param componentStates returns the internal state of components such as routing and peers for a
+   *     dump, by their names in the dump; may block for up to 2 s
    */
   public NodeInspector(
       Settings settings,
@@ -55,7 +55,10 @@
     this.componentStates = componentStates;
   }
 
-  /** Returns a summary: identity and phase of the node, manifest revision and live members. */
+  /**
+   * Returns a summary: identity and phase of the node, manifest revision, number of requests in
+   * progress and live members.
+   */
   ObjectNode status() {
     ObjectNode status = JsonNodeFactory.instance.objectNode();
     status.put("host", settings.host().value());
@@ -66,12 +69,13 @@
     status.put("revision", manifest.revision());
     manifest.current().ifPresent(m -> status.put("digest", m.digest()));
     status.put("requests_in_progress", routing.requestsInProgress());
-    ArrayNode list = status.putArray("members");
+    ArrayNode members = status.putArray("members");
     membership
         .live()
         .forEach(
             m ->
-                list.addObject()
+                members
+                    .addObject()
                     .put("host", m.host().value())
                     .put("region", m.region().value())
                     .put("zone", m.zone().value())
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
@@ -20,7 +20,10 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** HTTP server for operators: metrics, health, node state, the manifest and graceful stop. */
+/**
+ * HTTP server for operators: metrics, health, node state, routing decisions, the manifest and
+ * graceful stop. Each request runs on a virtual thread of its own.
+ */
 public final class OperatorApi {
   private final NodeState state;
   private final ManifestInForce manifest;
@@ -94,7 +97,7 @@
     List<ExplainLog.Entry> entries = inspector.explain(new RequestId(id));
     if (entries.isEmpty()) {
       throw new MustardlatchException(
-          ErrorCode.UNKNOWN_REQUEST, "request " + id + " is not recorded on this node");
+          ErrorCode.UNKNOWN_REQUEST, "request " + id + " is not known on this node");
     }
     ObjectNode response = JsonNodeFactory.instance.objectNode().put("request", id);
     ArrayNode decisions = response.putArray("decisions");
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/RequestMetrics.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/RequestMetrics.java
@@ -7,11 +7,13 @@
 import org.mustardlatch.core.error.ErrorCode;
 
 /**
- * Counts caller requests by outcome, generated tokens and errors. Safe for use by several threads.
+ * Counts generation requests by outcome, generated tokens, and error responses to callers by code.
+ * A request that fails before the first byte of its response counts as an error response only. Safe
+ * for use by several threads.
  */
 public final class RequestMetrics {
   private final MeterRegistry registry;
-  private final LongAdder staleChunks = new LongAdder();
+  private final LongAdder droppedChunks = new LongAdder();
   private final Counter completed;
   private final Counter failed;
   private final Counter disconnected;
@@ -24,20 +26,23 @@
     failed = registry.counter("mustardlatch.requests", "outcome", "broken");
     disconnected = registry.counter("mustardlatch.requests", "outcome", "caller_gone");
     tokens = registry.counter("mustardlatch.tokens");
-    FunctionCounter.builder("mustardlatch.late_answers_dropped", staleChunks, LongAdder::sum)
+    FunctionCounter.builder("mustardlatch.late_answers_dropped", droppedChunks, LongAdder::sum)
         .description("pieces of answers from attempts that were not current")
         .register(registry);
   }
 
-  /** Returns the counter of output chunks dropped because their attempt was not the current one. */
-  public LongAdder staleChunks() {
-    return staleChunks;
+  /**
+   * Returns the counter of output chunks that arrived after their attempt was superseded or the
+   * response had ended, and were dropped.
+   */
+  public LongAdder droppedChunks() {
+    return droppedChunks;
   }
 
   /**
    * Counts a finished response and its tokens.
    *
-   * @param complete whether the whole output was written
+   * @param complete whether the whole output was written; false if a stream broke off
    * @param tokenCount number of generated tokens
    */
   public void recordResponse(boolean complete, int tokenCount) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/package-info.java
@@ -1,4 +1,7 @@
-/** The HTTP interface for operators: metrics, health, node state, manifest and graceful stop. */
+/**
+ * The HTTP interface for operators, the people and tools that run the router: metrics, health, node
+ * state, routing decisions, manifest and graceful stop.
+ */
 @NullMarked
 package org.mustardlatch.daemon.operator;
 
