--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedRequestHandle.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/KeyedRequestHandle.java
@@ -25,7 +25,7 @@
   private enum State {
     OPEN,
     CLAIMED,
-    CALLER_DISCONNECTED
+    CANCELLED
   }
 
   KeyedRequestHandle(long deadlineNanos, BiConsumer<KeyedRequestHandle, KeyedRequestEvent> events) {
@@ -63,7 +63,7 @@
    * cancelled; a claimed one continues, and its outcome is recorded.
    */
   public void callerDisconnected() {
-    if (state.compareAndSet(State.OPEN, State.CALLER_DISCONNECTED)) {
+    if (state.compareAndSet(State.OPEN, State.CANCELLED)) {
       events.accept(this, new KeyedRequestEvent.CallerDisconnected());
     }
   }
@@ -83,8 +83,8 @@
     return response;
   }
 
-  boolean isCallerDisconnected() {
-    return state.get() == State.CALLER_DISCONNECTED;
+  boolean isCancelled() {
+    return state.get() == State.CANCELLED;
   }
 
   /** Completes the response and denies a dispatch that was not permitted before. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -32,12 +32,15 @@
 import org.mustardlatch.daemon.store.ObjectStoreClient;
 
 /**
- * Executes keyed requests of this node at most once each. Public methods may be called on any
- * thread and do not block; all work is done on one thread of this service.
+ * Ensures that each keyed request (a request with an {@code Idempotency-Key}) is dispatched at most
+ * once. Public methods may be called on any thread and do not block; all work is done on one thread
+ * of this service.
  */
 public final class LedgerService {
   private static final Duration IDLE_SHARD_REMOVAL_PERIOD = Duration.ofMinutes(1);
   private static final Duration DRAIN_CHECK_PERIOD = Duration.ofMillis(20);
+
+  /** Length of each half of a nonce: the prefix of this process and the part of one attempt. */
   private static final int NONCE_HALF_BYTES = 8;
 
   private final LedgerSettings settings;
@@ -113,7 +116,7 @@
     String nonce = attempt.nonce();
     KeyedRequestHandle request =
         new KeyedRequestHandle(
-            deadlineNanos, (c, event) -> loop.execute(() -> handle(nonce, c, event)));
+            deadlineNanos, (source, event) -> loop.execute(() -> handle(nonce, source, event)));
     if (KeyAge.isExpired(key, settings.limits().get().retention(), now().wallClockSeconds())) {
       request.completeResponse(new KeyedResponse.KeyExpired());
       return request;
@@ -229,7 +232,7 @@
     @Override
     public void dispatch(String nonce) {
       KeyedRequestHandle request = openRequests.get(nonce);
-      if (request == null || request.isCallerDisconnected()) {
+      if (request == null || request.isCancelled()) {
         KeyedRequestEvent notSent =
             new KeyedRequestEvent.DispatchEnded(new DispatchOutcome.NotSent());
         loop.execute(() -> node.handle(nonce, notSent, now()));
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Runs the ledger of {@code core.ledger}, which executes keyed requests at most once, on this node.
+ * Runs the ledger of {@code core.ledger}, which ensures that keyed requests are dispatched at most
+ * once, against the object service and the other nodes.
  */
 @NullMarked
 package org.mustardlatch.daemon.ledger;
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/Chunk.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/Chunk.java
@@ -5,9 +5,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A chunk of generated output as an engine sent it.
+ * A chunk of generated output from an engine.
  *
- * @param choice the engine's choice object
+ * @param choice the choice object as the engine sent it, except for its token ids
  * @param text the new text; may be empty
  * @param tokenIds ids of the new tokens; empty unless the prompt is a list of token ids
  * @param tokens number of new tokens
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommandExecutor.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/EngineCommandExecutor.java
@@ -17,12 +17,15 @@
   void startDecode(
       GenerationExchange exchange, AttemptId attempt, UpstreamId upstream, KvHandle handle);
 
-  /** Cancels an attempt of this node; repeated until the engine acknowledges the cancellation. */
+  /**
+   * Cancels an attempt of this node; repeated until the engine acknowledges the cancellation or a
+   * time limit has passed.
+   */
   void cancel(AttemptId attempt, UpstreamId upstream);
 
   /**
    * Cancels an attempt that a dead or removed node left on an engine; repeated until the engine
-   * acknowledges the cancellation.
+   * acknowledges the cancellation or a time limit has passed.
    */
   void cancelOrphaned(ReportedAttempt orphan, UpstreamId upstream);
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/ExplainLog.java
@@ -9,7 +9,8 @@
 
 /**
  * The routing decisions about recent requests, kept in memory for the operator. The oldest requests
- * are evicted first. Safe for use by several threads.
+ * are evicted first, and only the first decisions of each request are kept. Safe for use by several
+ * threads.
  */
 public final class ExplainLog {
   /** About 600 bytes each: under 2 MB of the 32 MB that a node may use. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationExchange.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/GenerationExchange.java
@@ -44,7 +44,11 @@
     return sink;
   }
 
-  /** Stores the KV transfer parameters that a prefill engine returned, for the decode call. */
+  /**
+   * Stores the KV transfer parameters that a prefill engine returned, for the decode call.
+   *
+   * @param reference identifies the KV cache on its prefill engine
+   */
   public void storeTransferParameters(String reference, JsonNode parameters) {
     transferParameters.put(reference, parameters);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/PartialOutput.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/PartialOutput.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The output of a request that was accepted for the caller so far.
+ * The part of the output of a request that its {@link ResponseSink} has accepted so far.
  *
  * @param text generated text
  * @param tokenIds ids of the generated tokens; empty unless the prompt is a list of token ids
--- a/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/routing/RoutingService.java
@@ -68,11 +68,12 @@
   private void executeCommand(RoutingCommand command) {
     switch (command) {
       case RoutingCommand.ReserveEngine c ->
-          throw new IllegalStateException("engines of this node cannot be reserved: " + c);
+          throw new IllegalStateException("this node cannot reserve engines: " + c);
       case RoutingCommand.StartPrefill c ->
           find(c.attempt().request())
               .ifPresentOrElse(
                   e -> engines.startPrefill(e, c.attempt(), c.upstream()),
+                  // The caller disconnected, so the exchange is removed; ends the request.
                   () -> post(new RoutingEvent.CallerDisconnected(c.attempt().request())));
       case RoutingCommand.StartDecode c ->
           find(c.attempt().request())
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
@@ -34,14 +34,14 @@
   }
 
   /**
-   * Sends a request that the caller may repeat, on a pooled connection.
+   * Sends a request that is safe to repeat, on a pooled connection.
    *
    * @param timeout timeout for the whole call
    */
   public ApplicationResult send(UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("upstream " + upstream + " is unknown")
+        ? new ApplicationResult.NotSent("upstream " + upstream + " is not known")
         : executeCall(host.get(), host.get().client().newBuilder(), request, timeout);
   }
 
@@ -55,7 +55,7 @@
       UpstreamId upstream, ApplicationRequest request, Duration timeout) {
     Optional<UpstreamHost> host = hosts.find(upstream);
     return host.isEmpty()
-        ? new ApplicationResult.NotSent("upstream " + upstream + " is unknown")
+        ? new ApplicationResult.NotSent("upstream " + upstream + " is not known")
         : executeCall(
             host.get(),
             host.get()
@@ -68,14 +68,15 @@
 
   private static ApplicationResult executeCall(
       UpstreamHost host,
-      OkHttpClient.Builder client,
+      OkHttpClient.Builder clientBuilder,
       ApplicationRequest request,
       Duration timeout) {
     RequestSentListener listener = new RequestSentListener();
-    OkHttpClient singleCallClient = client.eventListener(listener).callTimeout(timeout).build();
+    OkHttpClient singleCallClient =
+        clientBuilder.eventListener(listener).callTimeout(timeout).build();
     HttpUrl url = host.baseUrl().resolve(request.pathAndQuery());
     if (url == null) {
-      return new ApplicationResult.NotSent("invalid path: " + request.pathAndQuery());
+      return new ApplicationResult.NotSent("path is not valid: " + request.pathAndQuery());
     }
     Request.Builder builder = new Request.Builder().url(url);
     request
@@ -97,7 +98,7 @@
     byte[] bytes =
         ByteStreams.limit(response.body().byteStream(), MAX_RESPONSE_BYTES + 1L).readAllBytes();
     if (bytes.length > MAX_RESPONSE_BYTES) {
-      throw new IOException("response body exceeds " + MAX_RESPONSE_BYTES + " bytes");
+      throw new IOException("answer is longer than " + MAX_RESPONSE_BYTES + " bytes");
     }
     return bytes;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/AttemptOwner.java
@@ -4,8 +4,8 @@
 import org.mustardlatch.core.model.HostId;
 
 /**
- * Identifies this node to engines as the owner of its attempts, so that the KV cache and slots they
- * hold for a dead node or an earlier incarnation can be found and freed.
+ * Identifies this node to engines as the owner of its attempts, so that KV cache and slots in use
+ * for a dead node or an earlier incarnation of a node can be found and freed.
  *
  * @param host this node
  * @param incarnation supplies the current incarnation of this node
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/CancelTask.java
@@ -11,8 +11,8 @@
 
 /**
  * Repeats the cancellation of an attempt on an engine, with exponential backoff, until the engine
- * acknowledges it. Status 200 and 404 both mean that the engine keeps no state of the attempt. Each
- * run blocks its thread for one call.
+ * acknowledges it or {@link #ACKNOWLEDGEMENT_TIMEOUT} has passed. Status 200 and 404 both mean that
+ * the engine keeps no state of the attempt. Each run blocks its thread for one call.
  */
 final class CancelTask implements Runnable {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
@@ -26,15 +26,18 @@
   private static final Duration ACKNOWLEDGEMENT_TIMEOUT = Duration.ofSeconds(60);
 
   private final UpstreamHost host;
-  private final String attempt;
+
+  /** Id of the request on the engine: an attempt id or the reference of a KV cache. */
+  private final String engineRequestId;
+
   private final TimerService timers;
   private final Executor executor;
   private final long acknowledgementDeadlineNanos;
   private Duration backoff = INITIAL_BACKOFF;
 
-  CancelTask(UpstreamHost host, String attempt, TimerService timers, Executor executor) {
+  CancelTask(UpstreamHost host, String engineRequestId, TimerService timers, Executor executor) {
     this.host = host;
-    this.attempt = attempt;
+    this.engineRequestId = engineRequestId;
     this.timers = timers;
     this.executor = executor;
     this.acknowledgementDeadlineNanos = timers.nanos() + ACKNOWLEDGEMENT_TIMEOUT.toNanos();
@@ -46,7 +49,7 @@
       return;
     }
     if (timers.nanos() >= acknowledgementDeadlineNanos) {
-      EventLog.log(LogEvent.CANCEL_NOT_ACKNOWLEDGED, host.id(), attempt);
+      EventLog.log(LogEvent.CANCEL_NOT_ACKNOWLEDGED, host.id(), engineRequestId);
       return;
     }
     host.evictConnections();
@@ -58,7 +61,7 @@
   /** Sends one cancellation; returns whether the engine acknowledged it. */
   private boolean sendCancellation() {
     Request request =
-        new Request.Builder().url(host.url("/v1/requests/" + attempt)).delete().build();
+        new Request.Builder().url(host.url("/v1/requests/" + engineRequestId)).delete().build();
     try (Response response =
         host.client().newBuilder().callTimeout(CALL_TIMEOUT).build().newCall(request).execute()) {
       return response.code() == 200 || response.code() == 404;
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EndToEndHeaders.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EndToEndHeaders.java
@@ -5,6 +5,7 @@
 
 /** Decides which HTTP headers the router forwards. */
 public final class EndToEndHeaders {
+  /** Headers of a single connection, and those that are set anew for each connection. */
   private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
@@ -18,7 +19,10 @@
           "content-length",
           "host");
 
-  /** Headers addressed to the router; the HTTP client negotiates compression by itself. */
+  /**
+   * Request headers that are meant for the router, such as the API key in {@code Authorization};
+   * the HTTP client negotiates compression by itself.
+   */
   private static final Set<String> ROUTER_ONLY =
       Set.of("authorization", "accept-encoding", "x-request-id", "expect");
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
@@ -104,6 +104,7 @@
 
   @Override
   public void releaseKv(KvHandle handle) {
+    // The reference is the engine's id of the prefill request; cancelling that frees the KV cache.
     cancel(handle.reference(), handle.source());
   }
 
@@ -112,10 +113,11 @@
     return activeCalls.size();
   }
 
-  private void cancel(String attempt, UpstreamId upstream) {
+  private void cancel(String engineRequestId, UpstreamId upstream) {
     hosts
         .find(upstream)
-        .ifPresent(host -> executor.execute(new CancelTask(host, attempt, timers, executor)));
+        .ifPresent(
+            host -> executor.execute(new CancelTask(host, engineRequestId, timers, executor)));
   }
 
   private void start(EngineCall call) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHost.java
@@ -48,7 +48,7 @@
     return client;
   }
 
-  /** Returns the URL of an absolute path on this host. */
+  /** Appends a path, which must start with a slash, to the base URL. */
   HttpUrl url(String path) {
     return baseUrl.newBuilder().addEncodedPathSegments(path.substring(1)).build();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamHosts.java
@@ -12,7 +12,8 @@
 
 /**
  * The upstreams of all manifests applied since the node started. An upstream that a later manifest
- * removes is kept, because its attempts must still finish or be cancelled.
+ * removes is kept, because its attempts must still finish or be cancelled. Safe for use by several
+ * threads.
  */
 public final class UpstreamHosts {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/UpstreamPoller.java
@@ -23,9 +23,9 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Polls the engines of the cells that this node admits to for their load reports and attempt lists.
- * An engine of a cell that this node takes over is polled within one tick, without waiting for a
- * period.
+ * Polls the engines of the cells that this node admits work to for their load reports and attempt
+ * lists. An engine of a cell that this node takes over is polled within one tick, without waiting
+ * for a period.
  */
 public final class UpstreamPoller {
   private static final Duration TICK_PERIOD = Duration.ofMillis(100);
