--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/ApplicationClient.java
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Sends a request that the caller may repeat, on a pooled connection.
+   * Sends a request that is safe to repeat, on a pooled connection.
    *
    * @param timeout timeout for the whole call
    */
@@ -68,11 +68,12 @@
 
   private static ApplicationResult executeCall(
       UpstreamHost host,
-      OkHttpClient.Builder client,
+      OkHttpClient.Builder clientBuilder,
       ApplicationRequest request,
       Duration timeout) {
     RequestSentListener listener = new RequestSentListener();
-    OkHttpClient singleCallClient = client.eventListener(listener).callTimeout(timeout).build();
+    OkHttpClient singleCallClient =
+        clientBuilder.eventListener(listener).callTimeout(timeout).build();
     HttpUrl url = host.baseUrl().resolve(request.pathAndQuery());
     if (url == null) {
       return new ApplicationResult.NotSent("path is not valid: " + request.pathAndQuery());
