--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -30,8 +30,8 @@
 import org.mustardlatch.daemon.ledger.LedgerSettings;
 import org.mustardlatch.daemon.node.AppliedManifest;
 import org.mustardlatch.daemon.node.EventLoop;
-import org.mustardlatch.daemon.node.HostListService;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.HostListPoller;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.ManifestService;
 import org.mustardlatch.daemon.node.NodeRegistration;
 import org.mustardlatch.daemon.node.NodeState;
@@ -53,34 +53,34 @@
 
 /** One node: puts the services together, starts and stops them. */
 public final class Daemon {
-  private static final Duration DRAIN_POLL = Duration.ofMillis(20);
-  private static final Duration LEDGER_DRAIN = Duration.ofSeconds(10);
+  private static final Duration DRAIN_POLL_PERIOD = Duration.ofMillis(20);
+  private static final Duration LEDGER_DRAIN_TIMEOUT = Duration.ofSeconds(10);
 
   private final Settings settings;
   private final NodeState state = new NodeState();
-  private final EventLoop loop = new EventLoop("routing");
-  private final ExecutorService calls = Executors.newVirtualThreadPerTaskExecutor();
-  private final ManifestInForce manifest = new ManifestInForce();
-  private final UpstreamHosts hosts = new UpstreamHosts();
+  private final EventLoop routingLoop = new EventLoop("routing");
+  private final ExecutorService callExecutor = Executors.newVirtualThreadPerTaskExecutor();
+  private final ActiveManifest activeManifest = new ActiveManifest();
+  private final UpstreamHosts upstreamHosts = new UpstreamHosts();
   private final EventLoop peerLoop = new EventLoop("peers");
   private final PeerBinding peers;
   private final ObjectStoreClient store;
-  private final ManifestService manifests;
+  private final ManifestService manifestService;
   private final LedgerService ledger;
   private final RoutingService routing;
   private final UpstreamPoller poller;
-  private final WorkspaceRates rates;
-  private final HostListService hostList;
+  private final WorkspaceRateLimiter workspaceRates;
+  private final HostListPoller hostListPoller;
   private final NodeRegistration registration;
-  private final CallerApi callers;
-  private final OperatorApi operators;
+  private final CallerApi callerApi;
+  private final OperatorApi operatorApi;
   private final CountDownLatch drained = new CountDownLatch(1);
 
   /** Creates a node that is not started. */
   public Daemon(Settings settings) {
     this.settings = settings;
     long incarnation = Instant.now().toEpochMilli();
-    peers = new PeerBinding(settings, incarnation, peerLoop, manifest, this::post);
+    peers = new PeerBinding(settings, incarnation, peerLoop, activeManifest, this::post);
     RandomGenerator random = new SecureRandom();
     NodeRouter router =
         new NodeRouter(
@@ -88,8 +88,8 @@
             settings.region(),
             incarnation,
             RandomGenerator.of("L64X128MixRandom"));
-    store = new ObjectStoreClient(settings.objectServiceUrl(), ObjectStoreTimeouts.DEFAULT, loop);
-    manifests = new ManifestService(new ManifestStore(store, loop, random), peers.service(), loop);
+    store = new ObjectStoreClient(settings.objectServiceUrl(), ObjectStoreTimeouts.DEFAULT, routingLoop);
+    manifestService = new ManifestService(new ManifestStore(store, routingLoop, random), peers.service(), routingLoop);
     ledger =
         new LedgerService(
             new LedgerSettings(
@@ -103,35 +103,35 @@
             InstantSource.system(),
             random);
     AttemptOwner owner = new AttemptOwner(settings.host(), router::incarnation);
-    EngineClient engines = new EngineClient(hosts, manifest, loop, calls, owner, this::post);
-    routing = new RoutingService(loop, router, engines, peers.service()::send);
-    poller = new UpstreamPoller(hosts, router::admittedEngines, loop, calls, this::post);
-    hostList =
-        new HostListService(
-            store, manifest, loop, id -> post(new RoutingEvent.UpstreamLeaving(id)));
+    EngineClient engines = new EngineClient(upstreamHosts, activeManifest, routingLoop, callExecutor, owner, this::post);
+    routing = new RoutingService(routingLoop, router, engines, peers.service()::send);
+    poller = new UpstreamPoller(upstreamHosts, router::admittedEngines, routingLoop, callExecutor, this::post);
+    hostListPoller =
+        new HostListPoller(
+            store, activeManifest, routingLoop, id -> post(new RoutingEvent.UpstreamLeaving(id)));
     registration =
         new NodeRegistration(
-            settings.host(), store, peers.service(), loop, () -> peers.live().size());
-    rates = new WorkspaceRates(peers.service(), peers, manifest, settings.region());
+            settings.host(), store, peers.service(), routingLoop, () -> peers.liveMembers().size());
+    workspaceRates = new WorkspaceRateLimiter(peers.service(), peers, activeManifest, settings.region());
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    callers =
+    callerApi =
         new CallerApi(
             settings.callerAddress(),
             state,
-            manifest,
+            activeManifest,
             routing,
             ledger,
-            new ApplicationClient(hosts),
-            rates,
+            new ApplicationClient(upstreamHosts),
+            workspaceRates,
             new RequestMetrics(registry));
-    operators =
+    operatorApi =
         new OperatorApi(
             settings.operatorAddress(),
             state,
-            manifest,
+            activeManifest,
             new NodeInspector(
-                settings, state, manifest, peers, routing, engines, () -> internals(router)),
-            manifests,
+                settings, state, activeManifest, peers, routing, engines, () -> dumpInternals(router)),
+            manifestService,
             this::drain,
             registry);
   }
@@ -139,24 +139,24 @@
   /** Starts all services. The node is ready when a manifest is in force. */
   public void start() {
     EventLog.log(LogEvent.DAEMON_STARTING, settings.host(), settings.zone(), peers.incarnation());
-    var unused = manifest.changes().subscribe(this::apply);
-    peers.service().addListener(new ReadyListener());
+    var unused = activeManifest.changes().subscribe(this::applyManifest);
+    peers.service().addListener(new ReadinessListener());
     peers.service().addListener(new LedgerListener());
-    peers.service().addListener(new RateListener());
-    peers.service().addListener(hostList);
+    peers.service().addListener(new WorkspaceRateListener());
+    peers.service().addListener(hostListPoller);
     registration.start(peers.service().start());
-    manifests.start();
+    manifestService.start();
     ledger.start();
     poller.start();
-    operators.start();
-    callers.start();
+    operatorApi.start();
+    callerApi.start();
   }
 
   /** Begins a graceful stop; returns at once. {@link #awaitDrained} tells when it is over. */
   public void drain() {
     if (state.enter(NodeState.Phase.DRAINING)) {
-      EventLog.log(LogEvent.DAEMON_DRAINING, callers.requestsInProgress());
-      loop.schedule(settings.drainDelay(), this::refuse);
+      EventLog.log(LogEvent.DAEMON_DRAINING, callerApi.requestsInProgress());
+      routingLoop.schedule(settings.drainDelay(), this::refuseNewRequests);
     }
   }
 
@@ -170,34 +170,34 @@
     if (!state.enter(NodeState.Phase.STOPPED)) {
       return;
     }
-    callers.stop();
-    operators.stop();
+    callerApi.stop();
+    operatorApi.stop();
     poller.stop();
     ledger.stop();
-    manifests.stop();
-    hostList.stop();
+    manifestService.stop();
+    hostListPoller.stop();
     registration.stop();
     peers.service().stop();
     store.close();
     peerLoop.stop();
-    loop.stop();
-    calls.shutdownNow();
+    routingLoop.stop();
+    callExecutor.shutdownNow();
   }
 
   /** Returns the port for callers. */
   public int callerPort() {
-    return callers.port();
+    return callerApi.port();
   }
 
   /** Returns the port for operators. */
   public int operatorPort() {
-    return operators.port();
+    return operatorApi.port();
   }
 
   /** Returns the state of the parts that decide; reads the router on its own thread. */
-  private Map<String, Object> internals(NodeRouter router) {
+  private Map<String, Object> dumpInternals(NodeRouter router) {
     CompletableFuture<Map<String, Object>> decisions = new CompletableFuture<>();
-    loop.schedule(
+    routingLoop.schedule(
         Duration.ZERO,
         () ->
             decisions.complete(
@@ -213,33 +213,33 @@
         "peer_counters", peers.service().counters());
   }
 
-  private void refuse() {
+  private void refuseNewRequests() {
     state.enter(NodeState.Phase.REFUSING);
     post(new RoutingEvent.DrainRequested());
-    awaitLast();
+    awaitLastRequest();
   }
 
-  private void awaitLast() {
-    if (callers.requestsInProgress() > 0) {
-      loop.schedule(DRAIN_POLL, this::awaitLast);
+  private void awaitLastRequest() {
+    if (callerApi.requestsInProgress() > 0) {
+      routingLoop.schedule(DRAIN_POLL_PERIOD, this::awaitLastRequest);
     } else {
-      var unused = ledger.drain(LEDGER_DRAIN).thenRun(this::leave);
+      var unused = ledger.drain(LEDGER_DRAIN_TIMEOUT).thenRun(this::leavePeers);
     }
   }
 
-  private void apply(AppliedManifest applied) {
-    rates.refresh();
-    hosts.apply(applied.manifest());
+  private void applyManifest(AppliedManifest applied) {
+    workspaceRates.updateBudgets();
+    upstreamHosts.apply(applied.manifest());
     post(new RoutingEvent.ManifestApplied(applied.revision(), applied.manifest()));
   }
 
-  private void leave() {
+  private void leavePeers() {
     peers.service().leave();
     drained.countDown();
   }
 
   private LedgerLimits ledgerLimits() {
-    LedgerPolicy policy = manifest.orThrow().ledger();
+    LedgerPolicy policy = activeManifest.currentOrThrow().ledger();
     return LedgerLimits.of(policy.retention(), policy.writesPerSecond());
   }
 
@@ -248,17 +248,17 @@
   }
 
   /** Shares the rates of workspaces anew when the live nodes change. */
-  private final class RateListener implements PeerServiceListener {
+  private final class WorkspaceRateListener implements PeerServiceListener {
     @Override
     public void membersChanged(MemberList list) {
-      rates.refresh();
+      workspaceRates.updateBudgets();
     }
   }
 
   /** Passes messages about records to the ledger. */
   private final class LedgerListener implements PeerServiceListener {
     @Override
-    public void received(HostId from, long incarnation, PeerMessage message) {
+    public void messageReceived(HostId from, long incarnation, PeerMessage message) {
       if (message instanceof LedgerMessage m) {
         ledger.receive(from, incarnation, m);
       }
@@ -266,7 +266,7 @@
   }
 
   /** Turns readiness on when the manifest in force is recent enough. */
-  private final class ReadyListener implements PeerServiceListener {
+  private final class ReadinessListener implements PeerServiceListener {
     @Override
     public void configurationReady(long revision) {
       if (state.enter(NodeState.Phase.READY)) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/Main.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Main.java
@@ -72,7 +72,7 @@
           return runOnPlatform(adapter.createComponents(file.toString(), text));
         }
       }
-      settings = read(file, text);
+      settings = parseSettings(file, text);
     } catch (IOException | MustardlatchException e) {
       EventLog.log(LogEvent.SETTINGS_INVALID, file);
       err.println(
@@ -112,7 +112,7 @@
     return EXIT_OK;
   }
 
-  private static Settings read(Path file, String text) {
+  private static Settings parseSettings(Path file, String text) {
     ParseResult<Settings> result = SettingsParser.parse(file.toString(), text);
     return result.orThrow(ErrorCode.SETTINGS_INVALID);
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -17,7 +17,7 @@
 import org.mustardlatch.core.settings.Settings;
 import org.mustardlatch.core.settings.SocketAddress;
 import org.mustardlatch.core.time.TimerService;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.Membership;
 import org.mustardlatch.daemon.peer.PeerService;
 import org.mustardlatch.daemon.peer.PeerServiceListener;
@@ -29,8 +29,8 @@
 /** Connects the peer service with the manifest in force and the routing decisions. */
 final class PeerBinding implements Membership, PeerServiceListener {
   private final PeerService peers;
-  private final ManifestInForce manifest;
-  private final Consumer<RoutingEvent> events;
+  private final ActiveManifest activeManifest;
+  private final Consumer<RoutingEvent> routingEvents;
 
   /**
    * Creates the peer service; it is not started.
@@ -42,16 +42,16 @@
       Settings settings,
       long incarnation,
       TimerService timers,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       Consumer<RoutingEvent> events) {
-    this.manifest = manifest;
-    this.events = events;
+    this.activeManifest = manifest;
+    this.routingEvents = events;
     this.peers =
         new PeerService(
-            options(settings, incarnation),
+            peerNodeOptions(settings, incarnation),
             timers,
             RandomGenerator.of("L64X128MixRandom"),
-            this::apply);
+            this::applyManifest);
     peers.addListener(this);
   }
 
@@ -60,7 +60,7 @@
   }
 
   @Override
-  public List<Member> live() {
+  public List<Member> liveMembers() {
     return peers.members().members();
   }
 
@@ -71,28 +71,28 @@
 
   @Override
   public void membersChanged(MemberList list) {
-    events.accept(new RoutingEvent.MembersChanged(list.members()));
+    routingEvents.accept(new RoutingEvent.MembersChanged(list.members()));
   }
 
   @Override
   public void fenced(long incarnation) {
-    events.accept(new RoutingEvent.MembersChanged(live()));
+    routingEvents.accept(new RoutingEvent.MembersChanged(liveMembers()));
   }
 
   @Override
-  public void received(HostId from, long incarnation, PeerMessage message) {
+  public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
-      case EvidenceMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case AdmissionMessage m -> routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case EvidenceMessage m -> routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
         // Other listeners take the messages about records; the peer service takes the rest itself.
       }
     }
   }
 
-  private boolean apply(long revision, String text) {
+  private boolean applyManifest(long revision, String text) {
     try {
-      manifest.apply(revision, text);
+      activeManifest.apply(revision, text);
       return true;
     } catch (MustardlatchException e) {
       EventLog.log(LogEvent.MANIFEST_REFUSED, String.valueOf(e.getMessage()));
@@ -100,7 +100,7 @@
     }
   }
 
-  private static PeerNodeOptions options(Settings settings, long incarnation) {
+  private static PeerNodeOptions peerNodeOptions(Settings settings, long incarnation) {
     return new PeerNodeOptions(
         settings.host(),
         settings.region(),
@@ -109,11 +109,11 @@
         new InetSocketAddress(settings.peerAddress().ip(), settings.peerAddress().port()),
         null,
         settings.seeds().stream().map(SocketAddress::toString).toList(),
-        tls(settings.peerSecurity()),
+        tlsFiles(settings.peerSecurity()),
         null);
   }
 
-  private static @Nullable TlsFiles tls(PeerSecurity security) {
+  private static @Nullable TlsFiles tlsFiles(PeerSecurity security) {
     return switch (security) {
       case PeerSecurity.MutualTls t -> new TlsFiles(t.certificate(), t.key(), t.ca());
       case PeerSecurity.Plaintext p -> null;
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/CallerApi.java
@@ -17,7 +17,7 @@
 import org.mustardlatch.core.settings.SocketAddress;
 import org.mustardlatch.daemon.ledger.LedgerService;
 import org.mustardlatch.daemon.node.HttpServer;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.operator.RequestMetrics;
 import org.mustardlatch.daemon.routing.RoutingService;
@@ -40,7 +40,7 @@
           HandlerType.PATCH,
           HandlerType.DELETE);
 
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final RequestMetrics metrics;
   private final GenerationHandler generationHandler;
   private final PassThroughHandler passThroughHandler;
@@ -51,7 +51,7 @@
   public CallerApi(
       SocketAddress address,
       NodeState state,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       RoutingService routing,
       LedgerService ledger,
       ApplicationClient applications,
@@ -129,7 +129,7 @@
   }
 
   private void listModels(Context ctx) {
-    Manifest activeManifest = manifest.orThrow();
+    Manifest activeManifest = manifest.currentOrThrow();
     Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
     ObjectNode response = JsonNodeFactory.instance.objectNode().put("object", "list");
     ArrayNode data = response.putArray("data");
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/GenerationHandler.java
@@ -8,7 +8,7 @@
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.core.routing.GenerationRequest;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.operator.RequestMetrics;
 import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
@@ -29,14 +29,14 @@
   private static final Duration FINAL_DEADLINE_MARGIN = Duration.ofSeconds(30);
 
   private final ReadinessCheck readiness;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final WorkspaceLimiter limiter;
   private final RoutingService routing;
   private final RequestMetrics metrics;
 
   GenerationHandler(
       ReadinessCheck readiness,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       WorkspaceLimiter limiter,
       RoutingService routing,
       RequestMetrics metrics) {
@@ -54,7 +54,7 @@
    */
   void handle(Context ctx, RequestId id, boolean chat) throws IOException, InterruptedException {
     readiness.requireAccepting();
-    Manifest activeManifest = manifest.orThrow();
+    Manifest activeManifest = manifest.currentOrThrow();
     Workspace workspace = Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
     byte[] body = BodyReader.read(ctx);
     GenerationInput input = GenerationInputParser.parse(body, chat, activeManifest);
--- a/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/caller/PassThroughHandler.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.core.manifest.Route;
 import org.mustardlatch.core.manifest.Workspace;
 import org.mustardlatch.core.model.UpstreamId;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.upstream.ApplicationClient;
 import org.mustardlatch.daemon.upstream.ApplicationRequest;
 import org.mustardlatch.daemon.upstream.ApplicationResult;
@@ -38,7 +38,7 @@
   private static final int SERVICE_UNAVAILABLE = 503;
 
   private final ReadinessCheck readiness;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final WorkspaceLimiter limiter;
   private final ApplicationClient applications;
   private final KeyedRequestExecutor keyedRequests;
@@ -47,7 +47,7 @@
 
   PassThroughHandler(
       ReadinessCheck readiness,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       WorkspaceLimiter limiter,
       ApplicationClient applications,
       KeyedRequestExecutor keyedRequests) {
@@ -61,7 +61,7 @@
   /** Handles one request and copies the response of the service to the response to the caller. */
   void handle(Context ctx, String requestId) throws IOException, InterruptedException {
     readiness.requireAccepting();
-    Manifest activeManifest = manifest.orThrow();
+    Manifest activeManifest = manifest.currentOrThrow();
     Workspace workspace = Authenticator.authenticate(activeManifest, ctx.header("Authorization"));
     Route route = RouteMatcher.find(activeManifest, ctx.method().name(), ctx.path());
     try (WorkspaceLimiter.Slot slot = limiter.acquire(workspace)) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/ledger/LedgerService.java
@@ -122,7 +122,7 @@
         () -> {
           openRequests.put(nonce, request);
           node.setMembers(
-              peers.isPresent() ? membership.live() : List.of(), settings.storeRegion());
+              peers.isPresent() ? membership.liveMembers() : List.of(), settings.storeRegion());
           node.begin(attempt, deadlineNanos, now());
         });
     return request;
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestInForce.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ActiveManifest.java
@@ -11,7 +11,7 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /** The manifest in force on this node. Only a higher revision replaces it, as a whole. */
-public final class ManifestInForce {
+public final class ActiveManifest {
   private final BehaviorProcessor<AppliedManifest> changes = BehaviorProcessor.create();
 
   /**
@@ -51,7 +51,7 @@
    *
    * @throws MustardlatchException with {@link ErrorCode#NOT_READY} before the first
    */
-  public Manifest orThrow() {
+  public Manifest currentOrThrow() {
     return current()
         .map(AppliedManifest::manifest)
         .orElseThrow(
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
@@ -34,7 +34,7 @@
   @Override
   public void execute(Runnable task) {
     try {
-      executor.execute(guarded(task));
+      executor.execute(loggingExceptions(task));
     } catch (RejectedExecutionException e) {
       // The loop has stopped; what is left concerns requests whose connections are closed.
     }
@@ -44,7 +44,7 @@
   public TimerSubscription schedule(Duration delay, Runnable task) {
     try {
       ScheduledFuture<?> future =
-          executor.schedule(guarded(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+          executor.schedule(loggingExceptions(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
       return () -> future.cancel(false);
     } catch (RejectedExecutionException e) {
       return () -> {};
@@ -55,7 +55,7 @@
   public TimerSubscription scheduleRepeating(Duration period, Runnable task) {
     ScheduledFuture<?> future =
         executor.scheduleWithFixedDelay(
-            guarded(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
+            loggingExceptions(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
     return () -> future.cancel(false);
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** An exception must not end a repeated task, so it is logged here. */
-  private static Runnable guarded(Runnable task) {
+  private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HostListService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HostListPoller.java
@@ -22,13 +22,13 @@
  * <p>The object's {@code spec.hosts} is an array of {@code address} (IP number, or IP number and
  * port) and {@code state} ({@code live} or {@code leaving}). Other entries are ignored.
  */
-public final class HostListService implements PeerServiceListener {
-  private static final Duration PERIOD = Duration.ofSeconds(2);
+public final class HostListPoller implements PeerServiceListener {
+  private static final Duration READ_PERIOD = Duration.ofSeconds(2);
 
   private final ObjectStoreClient store;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final TimerService timers;
-  private final Consumer<UpstreamId> leaving;
+  private final Consumer<UpstreamId> leavingListener;
   private TimerSubscription subscription = () -> {};
 
   /**
@@ -36,21 +36,21 @@
    *
    * @param leaving called for each upstream on a leaving host, again at every reading
    */
-  public HostListService(
+  public HostListPoller(
       ObjectStoreClient store,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       TimerService timers,
       Consumer<UpstreamId> leaving) {
     this.store = store;
     this.manifest = manifest;
     this.timers = timers;
-    this.leaving = leaving;
+    this.leavingListener = leaving;
   }
 
   @Override
   public synchronized void watchManifest(boolean watch) {
     subscription.cancel();
-    subscription = watch ? timers.scheduleRepeating(PERIOD, this::read) : () -> {};
+    subscription = watch ? timers.scheduleRepeating(READ_PERIOD, this::read) : () -> {};
   }
 
   /** Stops reading. */
@@ -88,7 +88,7 @@
     for (Upstream u : applied.manifest().upstreams()) {
       URI url = u.url();
       if (addresses.contains(url.getHost()) || addresses.contains(url.getAuthority())) {
-        leaving.accept(u.id());
+        leavingListener.accept(u.id());
       }
     }
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
@@ -23,7 +23,7 @@
 
   // The default of 50 is full after a pause of some milliseconds. The kernel then answers with SYN
   // cookies and resets a connection whose second segment arrives before it was accepted.
-  private static final int ACCEPT_QUEUE = 1024;
+  private static final int ACCEPT_QUEUE_SIZE = 1024;
 
   private final SocketAddress address;
   private final Consumer<RoutesConfig> routes;
@@ -63,7 +63,7 @@
     config.startup.showJavalinBanner = false;
     config.startup.startupWatcherEnabled = false;
     config.http.compressionStrategy = CompressionStrategy.NONE;
-    config.jetty.modifyServer(server -> server.setErrorHandler(new JettyErrors()));
+    config.jetty.modifyServer(server -> server.setErrorHandler(new JettyErrorHandler()));
     config.jetty.addConnector(this::connector);
     routes.accept(config.routes);
   }
@@ -74,7 +74,7 @@
     ServerConnector created = new ServerConnector(server, new HttpConnectionFactory(http));
     created.setHost(address.ip());
     created.setPort(address.port());
-    created.setAcceptQueueSize(ACCEPT_QUEUE);
+    created.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
     created.setIdleTimeout(IDLE_TIMEOUT.toMillis());
     connector = created;
     return created;
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/JettyErrors.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/JettyErrorHandler.java
@@ -9,7 +9,7 @@
 import org.mustardlatch.core.error.ErrorCode;
 
 /** Answers faults that Jetty finds before a handler runs, in the form of all other errors. */
-final class JettyErrors extends ErrorHandler {
+final class JettyErrorHandler extends ErrorHandler {
   private static final int HEADERS_TOO_LARGE = 431;
 
   @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
@@ -28,17 +28,17 @@
  * answers; while it is down the manifest in force stays.
  */
 public final class ManifestService implements ManifestPublisher, PeerServiceListener {
-  private static final Duration READ_RETRY = Duration.ofSeconds(1);
-  private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
-  private static final Duration PUBLISH_BOUND = SETTLE_TIME.plusSeconds(5);
+  private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(1);
+  private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration PUBLISH_TIMEOUT = RESOLVE_TIMEOUT.plusSeconds(5);
 
   /** Twice the bound of 4 s within which a manifest must be in force everywhere. */
-  private static final Duration ACCEPT_BOUND = Duration.ofSeconds(8);
+  private static final Duration ACCEPT_TIMEOUT = Duration.ofSeconds(8);
 
   private final ManifestStore store;
   private final PeerService peers;
   private final TimerService timers;
-  private final RevisionWait accepted = new RevisionWait();
+  private final RevisionLatch acceptedRevision = new RevisionLatch();
   private boolean stopped;
   private @Nullable TimerSubscription watch;
 
@@ -61,13 +61,13 @@
             .thenAccept(
                 found ->
                     found.ifPresentOrElse(
-                        this::stored, () -> timers.schedule(READ_RETRY, this::start)));
+                        this::reportStored, () -> timers.schedule(READ_RETRY_DELAY, this::start)));
   }
 
   @Override
   public synchronized void watchManifest(boolean on) {
     if (on && watch == null && !stopped) {
-      watch = store.watch(this::stored);
+      watch = store.watch(this::reportStored);
     } else if (!on && watch != null) {
       watch.cancel();
       watch = null;
@@ -82,42 +82,42 @@
 
   @Override
   public void manifestAccepted(long revision) {
-    accepted.reached(revision);
+    acceptedRevision.advanceTo(revision);
   }
 
   @Override
   public long publish(String text, long base) {
     Manifest offered = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
-    PublishResult result = await(store.publish(base, text, SETTLE_TIME), base);
+    PublishResult result = await(store.publish(base, text, RESOLVE_TIMEOUT), base);
     return switch (result) {
-      case PublishResult.Published p -> spread(p.revision(), text);
+      case PublishResult.Published p -> distribute(p.revision(), text);
       case PublishResult.Conflict c -> {
-        stored(c.other());
+        reportStored(c.latest());
         throw new MustardlatchException(
             ErrorCode.MANIFEST_CONFLICT,
             "revision %d is the latest, not %d; %s"
-                .formatted(c.other().revision(), base, difference(c.other().text(), offered)));
+                .formatted(c.latest().revision(), base, describeDifference(c.latest().text(), offered)));
       }
       case PublishResult.Refused r ->
           throw new MustardlatchException(
               ErrorCode.STORE_UNAVAILABLE, "nothing was published: " + r.reason());
-      case PublishResult.Unknown u -> throw unknown(u.revision(), u.reason());
+      case PublishResult.Unknown u -> throw outcomeUnknown(u.revision(), u.reason());
     };
   }
 
-  private long spread(long revision, String text) {
+  private long distribute(long revision, String text) {
     peers.manifestPublished(revision, text);
-    if (!accepted.await(revision, ACCEPT_BOUND)) {
-      throw unknown(revision, "it is stored, but too few nodes have it in force");
+    if (!acceptedRevision.await(revision, ACCEPT_TIMEOUT)) {
+      throw outcomeUnknown(revision, "it is stored, but too few nodes have it in force");
     }
     return revision;
   }
 
-  private void stored(ManifestRevision revision) {
+  private void reportStored(ManifestRevision revision) {
     peers.manifestStored(revision.revision(), revision.text());
   }
 
-  private static String difference(String latest, Manifest offered) {
+  private static String describeDifference(String latest, Manifest offered) {
     ParseResult<Manifest> result = ManifestParser.parse("latest", latest);
     if (!result.isValid()) {
       return "it can't be read";
@@ -132,7 +132,7 @@
         .collect(Collectors.joining("\n", "the offered manifest differs from it by:\n", ""));
   }
 
-  private static MustardlatchException unknown(long revision, String reason) {
+  private static MustardlatchException outcomeUnknown(long revision, String reason) {
     return new MustardlatchException(
         ErrorCode.MANIFEST_UNKNOWN,
         "revision %d may be published (%s); run \"mustardlatch status\""
@@ -141,7 +141,7 @@
 
   private static PublishResult await(CompletableFuture<PublishResult> result, long base) {
     try {
-      return result.get(PUBLISH_BOUND.toMillis(), TimeUnit.MILLISECONDS);
+      return result.get(PUBLISH_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       return new PublishResult.Unknown(base + 1, e.toString());
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
@@ -22,13 +22,13 @@
  */
 public final class NodeRegistration {
   private static final String KIND = "nodes";
-  private static final Duration PERIOD = Duration.ofSeconds(5);
+  private static final Duration RETRY_PERIOD = Duration.ofSeconds(5);
 
   private final HostId host;
   private final ObjectStoreClient store;
   private final PeerService peers;
   private final TimerService timers;
-  private final IntSupplier members;
+  private final IntSupplier liveMemberCount;
   private TimerSubscription subscription = () -> {};
   private volatile boolean registered;
 
@@ -47,7 +47,7 @@
     this.store = store;
     this.peers = peers;
     this.timers = timers;
-    this.members = members;
+    this.liveMemberCount = members;
   }
 
   /**
@@ -57,8 +57,8 @@
    */
   public synchronized void start(InetSocketAddress address) {
     String text = address.getAddress().getHostAddress() + ":" + address.getPort();
-    step(text);
-    subscription = timers.scheduleRepeating(PERIOD, () -> step(text));
+    registerAndDiscover(text);
+    subscription = timers.scheduleRepeating(RETRY_PERIOD, () -> registerAndDiscover(text));
   }
 
   /** Ends the tries. */
@@ -66,12 +66,12 @@
     subscription.cancel();
   }
 
-  private void step(String address) {
+  private void registerAndDiscover(String address) {
     if (!registered) {
       register(address);
     }
-    if (members.getAsInt() < 2) {
-      var unused = store.list(KIND, reason -> {}).thenAccept(found -> report(found, address));
+    if (liveMemberCount.getAsInt() < 2) {
+      var unused = store.list(KIND, reason -> {}).thenAccept(found -> reportListedNodes(found, address));
     }
   }
 
@@ -102,7 +102,7 @@
                 });
   }
 
-  private void report(List<StoredObject> found, String own) {
+  private void reportListedNodes(List<StoredObject> found, String own) {
     List<String> addresses =
         found.stream()
             .map(o -> o.spec().path("address").asText())
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/RevisionWait.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/RevisionLatch.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /** Waits until a revision or a later one is reached. */
-final class RevisionWait {
-  private long highest;
+final class RevisionLatch {
+  private long highestRevision;
 
-  synchronized void reached(long revision) {
-    highest = Math.max(highest, revision);
+  synchronized void advanceTo(long revision) {
+    highestRevision = Math.max(highestRevision, revision);
     notifyAll();
   }
 
@@ -15,7 +15,7 @@
   synchronized boolean await(long revision, Duration bound) {
     long endNanos = System.nanoTime() + bound.toNanos();
     try {
-      while (highest < revision) {
+      while (highestRevision < revision) {
         long leftMillis = (endNanos - System.nanoTime()) / 1_000_000;
         if (leftMillis <= 0) {
           return false;
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/NodeInspector.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.mustardlatch.core.model.RequestId;
 import org.mustardlatch.core.settings.Settings;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.Membership;
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.routing.ExplainLog;
@@ -26,7 +26,7 @@
 
   private final Settings settings;
   private final NodeState state;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final Membership membership;
   private final RoutingService routing;
   private final EngineClient engines;
@@ -41,7 +41,7 @@
   public NodeInspector(
       Settings settings,
       NodeState state,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       Membership membership,
       RoutingService routing,
       EngineClient engines,
@@ -68,7 +68,7 @@
     status.put("requests_in_progress", routing.requestsInProgress());
     ArrayNode list = status.putArray("members");
     membership
-        .live()
+        .liveMembers()
         .forEach(
             m ->
                 list.addObject()
--- a/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/operator/OperatorApi.java
@@ -13,7 +13,7 @@
 import org.mustardlatch.core.settings.SocketAddress;
 import org.mustardlatch.daemon.node.AppliedManifest;
 import org.mustardlatch.daemon.node.HttpServer;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.ManifestPublisher;
 import org.mustardlatch.daemon.node.NodeState;
 import org.mustardlatch.daemon.routing.ExplainLog;
@@ -23,7 +23,7 @@
 /** HTTP server for operators: metrics, health, node state, the manifest and graceful stop. */
 public final class OperatorApi {
   private final NodeState state;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final NodeInspector inspector;
   private final ManifestPublisher publisher;
   private final Runnable drain;
@@ -38,7 +38,7 @@
   public OperatorApi(
       SocketAddress address,
       NodeState state,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       NodeInspector inspector,
       ManifestPublisher publisher,
       Runnable drain,
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestGate.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestApplier.java
@@ -2,7 +2,7 @@
 
 /** Decides whether a manifest that arrived can be used on this node, and puts it into force. */
 @FunctionalInterface
-public interface ManifestGate {
+public interface ManifestApplier {
   /**
    * Puts a revision into force as a whole, before it returns. Must not block.
    *
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
@@ -28,7 +28,7 @@
  */
 public final class PeerService {
   private final PeerNodeOptions options;
-  private final ManifestGate gate;
+  private final ManifestApplier manifestApplier;
   private final PeerNode node;
   private final List<PeerServiceListener> listeners = new CopyOnWriteArrayList<>();
 
@@ -40,10 +40,10 @@
    * @param gate puts manifests into force
    */
   public PeerService(
-      PeerNodeOptions options, TimerService timers, RandomGenerator random, ManifestGate gate) {
+      PeerNodeOptions options, TimerService timers, RandomGenerator random, ManifestApplier gate) {
     this.options = options;
-    this.gate = gate;
-    this.node = new PeerNode(options, timers, random, new Events());
+    this.manifestApplier = gate;
+    this.node = new PeerNode(options, timers, random, new PeerNodeEvents());
   }
 
   /** Adds a listener. */
@@ -82,7 +82,7 @@
   }
 
   /** Spreads evidence to all other nodes. */
-  public void spread(EvidenceMessage message) {
+  public void broadcast(EvidenceMessage message) {
     node.broadcast(message);
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Returns the manifest revision in force; 0 for none. */
-  public long revision() {
+  public long activeRevision() {
     return node.activeRevision();
   }
 
@@ -157,7 +157,7 @@
     return new LinkedHashMap<>(node.dump());
   }
 
-  private void each(Consumer<PeerServiceListener> call) {
+  private void notifyListeners(Consumer<PeerServiceListener> call) {
     for (PeerServiceListener l : listeners) {
       try {
         call.accept(l);
@@ -168,33 +168,33 @@
   }
 
   /** Logs events and passes them on. */
-  private final class Events implements PeerNodeListener {
-    private Set<HostId> known = new HashSet<>();
-    private Set<RegionId> unreachable = Set.of();
+  private final class PeerNodeEvents implements PeerNodeListener {
+    private Set<HostId> knownHosts = new HashSet<>();
+    private Set<RegionId> unreachableRegions = Set.of();
 
     @Override
     public void membersChanged(MemberList list) {
       Set<HostId> now = new HashSet<>();
       list.members().forEach(m -> now.add(m.host()));
       Set<HostId> joined = new HashSet<>(now);
-      joined.removeAll(known);
-      known.removeAll(now);
-      known.remove(options.host());
+      joined.removeAll(knownHosts);
+      knownHosts.removeAll(now);
+      knownHosts.remove(options.host());
       joined.forEach(h -> EventLog.log(LogEvent.NODE_JOINED, h, now.size()));
-      known.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, now.size()));
-      known = now;
+      knownHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, now.size()));
+      knownHosts = now;
       for (RegionId r : list.unreachableRegions()) {
-        if (!unreachable.contains(r)) {
+        if (!unreachableRegions.contains(r)) {
           EventLog.log(LogEvent.REGION_UNREACHABLE, r);
         }
       }
-      for (RegionId r : unreachable) {
+      for (RegionId r : unreachableRegions) {
         if (!list.unreachableRegions().contains(r)) {
           EventLog.log(LogEvent.REGION_REACHABLE, r);
         }
       }
-      unreachable = list.unreachableRegions();
-      each(l -> l.membersChanged(list));
+      unreachableRegions = list.unreachableRegions();
+      notifyListeners(l -> l.membersChanged(list));
     }
 
     @Override
@@ -205,14 +205,14 @@
     @Override
     public void fenced(long incarnation, long pausedNanos) {
       EventLog.log(LogEvent.NODE_FENCED, pausedNanos / 1_000_000, incarnation);
-      each(l -> l.fenced(incarnation));
+      notifyListeners(l -> l.fenced(incarnation));
     }
 
     @Override
     public boolean applyManifest(long revision, String text) {
-      boolean applied = gate.apply(revision, text);
+      boolean applied = manifestApplier.apply(revision, text);
       if (applied) {
-        each(l -> l.manifestInForce(revision, text));
+        notifyListeners(l -> l.manifestApplied(revision, text));
       } else {
         EventLog.log(LogEvent.MANIFEST_UNUSABLE, revision);
       }
@@ -222,23 +222,23 @@
     @Override
     public void manifestAccepted(long revision) {
       EventLog.log(LogEvent.MANIFEST_ACCEPTED, revision);
-      each(l -> l.manifestAccepted(revision));
+      notifyListeners(l -> l.manifestAccepted(revision));
     }
 
     @Override
     public void manifestWatchChanged(boolean watch) {
-      each(l -> l.watchManifest(watch));
+      notifyListeners(l -> l.watchManifest(watch));
     }
 
     @Override
     public void configurationReady(long revision) {
       EventLog.log(LogEvent.CONFIGURATION_READY, revision);
-      each(l -> l.configurationReady(revision));
+      notifyListeners(l -> l.configurationReady(revision));
     }
 
     @Override
     public void messageReceived(HostId from, long incarnation, PeerMessage message) {
-      each(l -> l.received(from, incarnation, message));
+      notifyListeners(l -> l.messageReceived(from, incarnation, message));
     }
 
     @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
@@ -21,7 +21,7 @@
   default void fenced(long incarnation) {}
 
   /** A manifest revision was put into force on this node. */
-  default void manifestInForce(long revision, String text) {}
+  default void manifestApplied(long revision, String text) {}
 
   /** A revision that this node published is in force on enough nodes that it can't be lost. */
   default void manifestAccepted(long revision) {}
@@ -36,5 +36,5 @@
   default void configurationReady(long revision) {}
 
   /** An admission, evidence or ledger message arrived. */
-  default void received(HostId from, long incarnation, PeerMessage message) {}
+  default void messageReceived(HostId from, long incarnation, PeerMessage message) {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestObject.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestObject.java
@@ -10,16 +10,16 @@
  * Content of the object {@code manifests/current}.
  *
  * @param current the manifest in it
- * @param writers nonces of the last publications, the latest first; a publisher whose answer was
+ * @param publisherNonces nonces of the last publications, the latest first; a publisher whose answer was
  *     lost finds its own nonce here even after another publication
  */
-record ManifestObject(ManifestRevision current, List<String> writers) {
-  private static final int REMEMBERED_WRITERS = 16;
+record ManifestObject(ManifestRevision current, List<String> publisherNonces) {
+  private static final int MAX_PUBLISHER_NONCES = 16;
 
   static final ManifestObject EMPTY = new ManifestObject(ManifestRevision.NONE, List.of());
 
   ManifestObject {
-    writers = List.copyOf(writers);
+    publisherNonces = List.copyOf(publisherNonces);
   }
 
   static ManifestObject parse(JsonNode spec) {
@@ -30,9 +30,9 @@
         writers);
   }
 
-  ManifestObject next(String text, String nonce) {
+  ManifestObject nextRevision(String text, String nonce) {
     List<String> kept = new ArrayList<>(List.of(nonce));
-    kept.addAll(writers.subList(0, Math.min(writers.size(), REMEMBERED_WRITERS - 1)));
+    kept.addAll(publisherNonces.subList(0, Math.min(publisherNonces.size(), MAX_PUBLISHER_NONCES - 1)));
     return new ManifestObject(new ManifestRevision(current.revision() + 1, text), kept);
   }
 
@@ -40,7 +40,7 @@
     ObjectNode spec = ObjectStoreClient.JSON.createObjectNode();
     spec.put("revision", current.revision()).put("text", current.text());
     ArrayNode list = spec.putArray("writers");
-    writers.forEach(list::add);
+    publisherNonces.forEach(list::add);
     return spec;
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
@@ -60,7 +60,7 @@
             .eventListenerFactory(SentTracker::of)
             .build();
     watchHttp =
-        http.newBuilder().callTimeout(Duration.ZERO).readTimeout(timeouts.watchSilence()).build();
+        http.newBuilder().callTimeout(Duration.ZERO).readTimeout(timeouts.watchIdle()).build();
   }
 
   /** Reads an object. */
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreTimeouts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreTimeouts.java
@@ -7,12 +7,12 @@
  *
  * @param connect for a connection to be made
  * @param call for a whole read or update, including the connection
- * @param watchSilence after which a watch without any line is opened again; connections can go
+ * @param watchIdle after which a watch without any line is opened again; connections can go
  *     silent without being closed
- * @param watchRetry time before a failed watch is opened again
+ * @param watchRetryDelay time before a failed watch is opened again
  */
 public record ObjectStoreTimeouts(
-    Duration connect, Duration call, Duration watchSilence, Duration watchRetry) {
+    Duration connect, Duration call, Duration watchIdle, Duration watchRetryDelay) {
   /** The object service answers in milliseconds, so a second without an answer is an outage. */
   public static final ObjectStoreTimeouts DEFAULT =
       new ObjectStoreTimeouts(
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
@@ -22,7 +22,7 @@
   private final ObjectStoreTimeouts timeouts;
   private final TimerService timers;
   private final Consumer<StoredObject> listener;
-  private volatile String version = "0";
+  private volatile String lastVersion = "0";
   private volatile boolean cancelled;
   private volatile @Nullable Call call;
 
@@ -48,7 +48,7 @@
     HttpUrl watchUrl =
         url.newBuilder()
             .addQueryParameter("watch", "true")
-            .addQueryParameter("resourceVersion", version)
+            .addQueryParameter("resourceVersion", lastVersion)
             .build();
     Call next = http.newCall(new Request.Builder().url(watchUrl).build());
     call = next;
@@ -69,7 +69,7 @@
 
   @Override
   public void onFailure(Call failed, IOException e) {
-    reopenLater();
+    scheduleReopen();
   }
 
   @Override
@@ -81,7 +81,7 @@
     } catch (IOException e) {
       // The connection broke or went silent; opening it again is the remedy for both.
     } finally {
-      reopenLater();
+      scheduleReopen();
     }
   }
 
@@ -91,16 +91,16 @@
       JsonNode event = ObjectStoreClient.JSON.readTree(line);
       if (event.has("object")) {
         StoredObject object = ObjectStoreClient.toObject(name, event.path("object"));
-        version = object.version();
+        lastVersion = object.version();
         listener.accept(object);
       }
       line = source.readUtf8Line();
     }
   }
 
-  private void reopenLater() {
+  private void scheduleReopen() {
     if (!cancelled) {
-      timers.schedule(timeouts.watchRetry(), this::open);
+      timers.schedule(timeouts.watchRetryDelay(), this::open);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
@@ -13,15 +13,15 @@
  * version: whichever of the two is applied makes the other fail.
  */
 final class Publication {
-  private static final Duration PAUSE = Duration.ofMillis(100);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
   private final ObjectStoreClient store;
   private final TimerService timers;
   private final long base;
   private final String text;
   private final String nonce;
-  private final long giveUpNanos;
-  private volatile boolean ambiguous;
+  private final long deadlineNanos;
+  private volatile boolean outcomeAmbiguous;
 
   Publication(
       ObjectStoreClient store,
@@ -35,7 +35,7 @@
     this.base = base;
     this.text = text;
     this.nonce = nonce;
-    this.giveUpNanos = giveUpNanos;
+    this.deadlineNanos = giveUpNanos;
   }
 
   CompletableFuture<PublishResult> run() {
@@ -52,7 +52,7 @@
   }
 
   private CompletableFuture<PublishResult> decide(String version, ManifestObject found) {
-    if (found.writers().contains(nonce)) {
+    if (found.publisherNonces().contains(nonce)) {
       return completed(new PublishResult.Published(base + 1));
     }
     if (found.current().revision() != base) {
@@ -63,7 +63,7 @@
 
   private CompletableFuture<PublishResult> write(String version, ManifestObject found) {
     return store
-        .put("manifests", "current", version, found.next(text, nonce).toSpec())
+        .put("manifests", "current", version, found.nextRevision(text, nonce).toSpec())
         .thenCompose(
             written ->
                 switch (written) {
@@ -71,24 +71,24 @@
                   case WriteResult.Conflict c -> retry("conflicting update");
                   case WriteResult.Refused r -> failed("update refused: " + r.reason());
                   case WriteResult.Unknown u -> {
-                    ambiguous = true;
+                    outcomeAmbiguous = true;
                     yield retry("answer to the update lost: " + u.reason());
                   }
                 });
   }
 
   private CompletableFuture<PublishResult> failed(String reason) {
-    return ambiguous ? retry(reason) : completed(new PublishResult.Refused(reason));
+    return outcomeAmbiguous ? retry(reason) : completed(new PublishResult.Refused(reason));
   }
 
   private CompletableFuture<PublishResult> retry(String reason) {
-    if (timers.nanos() < giveUpNanos) {
+    if (timers.nanos() < deadlineNanos) {
       CompletableFuture<Boolean> paused = new CompletableFuture<>();
-      timers.schedule(PAUSE, () -> paused.complete(true));
+      timers.schedule(RETRY_DELAY, () -> paused.complete(true));
       return paused.thenCompose(p -> run());
     }
     return completed(
-        ambiguous
+        outcomeAmbiguous
             ? new PublishResult.Unknown(base + 1, reason)
             : new PublishResult.Refused(reason));
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
@@ -8,9 +8,9 @@
   /**
    * Another manifest was published meanwhile; nothing was stored.
    *
-   * @param other the manifest that is stored now
+   * @param latest the manifest that is stored now
    */
-  record Conflict(ManifestRevision other) implements PublishResult {}
+  record Conflict(ManifestRevision latest) implements PublishResult {}
 
   /**
    * Nothing was stored and nothing will be.
--- a/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/upstream/EngineClient.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.core.routing.ReportedAttempt;
 import org.mustardlatch.core.routing.RoutingEvent;
 import org.mustardlatch.core.time.TimerService;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.routing.EngineCommandExecutor;
 import org.mustardlatch.daemon.routing.GenerationExchange;
 import org.mustardlatch.daemon.routing.GenerationInput;
@@ -27,7 +27,7 @@
  */
 public final class EngineClient implements EngineCommandExecutor {
   private final UpstreamHosts hosts;
-  private final ManifestInForce manifest;
+  private final ActiveManifest manifest;
   private final TimerService timers;
   private final Executor executor;
   private final AttemptOwner owner;
@@ -44,7 +44,7 @@
    */
   public EngineClient(
       UpstreamHosts hosts,
-      ManifestInForce manifest,
+      ActiveManifest manifest,
       TimerService timers,
       Executor executor,
       AttemptOwner owner,
--- a/daemon/src/test/java/org/mustardlatch/daemon/BadInputTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/BadInputTest.java
@@ -19,19 +19,19 @@
 /** Guards against input that breaks the daemon for the next request, or gets an unclear error. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BadInputTest {
-  private final Fleet fleet =
-      new Fleet(
+  private final InProcessFleet fleet =
+      new InProcessFleet(
           EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("decode-1", "decode"));
 
   @BeforeAll
-  void engineWorks() {
-    theNextRequestWorks();
+  void firstRequestSucceeds() {
+    nextRequestSucceeds();
   }
 
   @AfterEach
-  void theNextRequestWorks() {
-    HttpCalls.Answer answer = Fleet.complete(fleet.daemon().callerPort(), "next", 3, false);
-    assertThat(answer.text()).isEqualTo(TokenText.answer("next", 3));
+  void nextRequestSucceeds() {
+    TestHttpClient.Response answer = InProcessFleet.complete(fleet.daemon().callerPort(), "next", 3, false);
+    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("next", 3));
   }
 
   @AfterAll
@@ -40,29 +40,29 @@
   }
 
   @Test
-  void malformedJsonIsRefusedWithItsPlace() {
-    HttpCalls.Answer answer = post("{\"model\": \"wording\",");
+  void malformedJsonIsRefusedWithItsLocation() {
+    TestHttpClient.Response answer = post("{\"model\": \"wording\",");
     assertThat(answer.status()).isEqualTo(400);
-    assertThat(answer.code()).isEqualTo("malformed_json");
+    assertThat(answer.errorCode()).isEqualTo("malformed_json");
     assertThat(answer.body()).contains("line 1");
   }
 
   @Test
   void duplicateKeysAndTrailingTextAreRefused() {
-    assertThat(post("{\"model\":\"wording\",\"model\":\"other\"}").code())
+    assertThat(post("{\"model\":\"wording\",\"model\":\"other\"}").errorCode())
         .isEqualTo("malformed_json");
-    assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\"} {}").code())
+    assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\"} {}").errorCode())
         .isEqualTo("malformed_json");
   }
 
   @Test
   void anEmptyBodyAndAListAreRefused() {
-    assertThat(post("").code()).isEqualTo("invalid_argument");
-    assertThat(post("[]").code()).isEqualTo("invalid_argument");
+    assertThat(post("").errorCode()).isEqualTo("invalid_argument");
+    assertThat(post("[]").errorCode()).isEqualTo("invalid_argument");
   }
 
   @Test
-  void wrongTypesNameTheirField() {
+  void wrongTypesAreRefusedWithTheFieldName() {
     assertThat(post("{\"model\":7}").body()).contains("\\\"model\\\"");
     assertThat(post("{\"model\":\"wording\",\"prompt\":[\"a\",\"b\"]}").body())
         .contains("\\\"prompt\\\"");
@@ -78,92 +78,92 @@
   void fieldsThatOpenAiClientsSendAreAcceptedButTransferParametersAreNot() {
     assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\",\"user\":\"u\",\"top_k\":3}").status())
         .isEqualTo(200);
-    assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\",\"kv_transfer_params\":{}}").code())
+    assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\",\"kv_transfer_params\":{}}").errorCode())
         .isEqualTo("unknown_field");
   }
 
   @Test
   void anUnknownModelAndAnUnknownKeyAreRefused() {
-    assertThat(post("{\"model\":\"other\",\"prompt\":\"a\"}").code()).isEqualTo("unknown_model");
-    HttpCalls.Answer answer =
-        HttpCalls.send(
+    assertThat(post("{\"model\":\"other\",\"prompt\":\"a\"}").errorCode()).isEqualTo("unknown_model");
+    TestHttpClient.Response answer =
+        TestHttpClient.send(
             HttpRequest.newBuilder(fleet.url("/v1/completions"))
                 .header("Authorization", "Bearer wrong")
                 .POST(BodyPublishers.ofString("{}"))
                 .build());
     assertThat(answer.status()).isEqualTo(401);
-    assertThat(answer.code()).isEqualTo("unauthenticated");
+    assertThat(answer.errorCode()).isEqualTo("unauthenticated");
   }
 
   @Test
   void anUnknownRouteIsRefused() {
-    assertThat(HttpCalls.get(fleet.url("/v2/nothing")).code()).isEqualTo("unknown_route");
+    assertThat(TestHttpClient.get(fleet.url("/v2/nothing")).errorCode()).isEqualTo("unknown_route");
   }
 
   @Test
-  void aPromptThatIsTooLongIsRefusedBeforeAnyEngineSeesIt() {
+  void aTooLongPromptIsRefused() {
     String prompt = "x".repeat(200_000);
-    assertThat(post("{\"model\":\"wording\",\"prompt\":\"" + prompt + "\"}").code())
+    assertThat(post("{\"model\":\"wording\",\"prompt\":\"" + prompt + "\"}").errorCode())
         .isEqualTo("prompt_too_long");
   }
 
   @Test
-  void anOversizedBodyIsRefusedWithAndWithoutAnnouncedLength() {
+  void anOversizedBodyIsRefusedWithAndWithoutContentLength() {
     byte[] body = new byte[5 << 20];
-    HttpCalls.Answer announced =
-        HttpCalls.send(
-            HttpCalls.request(fleet.url("/v1/completions"))
+    TestHttpClient.Response announced =
+        TestHttpClient.send(
+            TestHttpClient.request(fleet.url("/v1/completions"))
                 .POST(BodyPublishers.ofByteArray(body))
                 .build());
-    assertThat(announced.code()).isEqualTo("body_too_large");
-    HttpCalls.Answer chunked =
-        HttpCalls.send(
-            HttpCalls.request(fleet.url("/v1/completions"))
+    assertThat(announced.errorCode()).isEqualTo("body_too_large");
+    TestHttpClient.Response chunked =
+        TestHttpClient.send(
+            TestHttpClient.request(fleet.url("/v1/completions"))
                 .POST(BodyPublishers.fromPublisher(BodyPublishers.ofByteArray(body)))
                 .build());
     assertThat(chunked.status()).isEqualTo(413);
   }
 
   @Test
-  void oversizedHeadersGetAnErrorInTheUsualForm() throws IOException {
+  void oversizedHeadersGetAJsonError() throws IOException {
     String answer =
-        raw("GET /v1/models HTTP/1.1\r\nHost: a\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n");
+        sendRaw("GET /v1/models HTTP/1.1\r\nHost: a\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n");
     assertThat(answer).startsWith("HTTP/1.1 431");
     assertThat(answer).contains("\"code\":\"headers_too_large\"");
   }
 
   @Test
-  void bytesThatAreNoHttpRequestGetAnErrorInTheUsualForm() throws IOException {
-    String badHeader = raw("GET /v1/models HTTP/1.1\r\nHost: a\r\nno colon here\r\n\r\n");
+  void invalidHttpRequestsGetAJsonError() throws IOException {
+    String badHeader = sendRaw("GET /v1/models HTTP/1.1\r\nHost: a\r\nno colon here\r\n\r\n");
     assertThat(badHeader).startsWith("HTTP/1.1 400");
     assertThat(badHeader).contains("\"code\":\"invalid_argument\"");
-    String noVersion = raw("no request\r\n\r\n");
+    String noVersion = sendRaw("no request\r\n\r\n");
     assertThat(noVersion).startsWith("HTTP/1.1 505");
     assertThat(noVersion).contains("\"code\":\"invalid_argument\"");
   }
 
   @Test
-  void anInvalidManifestIsRefusedWholeWithAllFindings() {
-    HttpCalls.Answer answer =
-        HttpCalls.post(fleet.operatorUrl("/manifest?base=1"), "a = 1\nb = 2\n", "text/plain");
-    assertThat(answer.code()).isEqualTo("manifest_invalid");
+  void anInvalidManifestIsRefusedWithAllErrors() {
+    TestHttpClient.Response answer =
+        TestHttpClient.post(fleet.operatorUrl("/manifest?base=1"), "a = 1\nb = 2\n", "text/plain");
+    assertThat(answer.errorCode()).isEqualTo("manifest_invalid");
     assertThat(answer.body()).contains("manifest:1:1");
     assertThat(answer.body()).contains("manifest:2:1");
   }
 
   @Test
   void aManifestOnAnOldBaseIsAConflict() {
-    String text = HttpCalls.get(fleet.operatorUrl("/manifest")).body();
-    HttpCalls.Answer answer =
-        HttpCalls.post(fleet.operatorUrl("/manifest?base=0"), text, "text/plain");
-    assertThat(answer.code()).isEqualTo("manifest_conflict");
+    String text = TestHttpClient.get(fleet.operatorUrl("/manifest")).body();
+    TestHttpClient.Response answer =
+        TestHttpClient.post(fleet.operatorUrl("/manifest?base=0"), text, "text/plain");
+    assertThat(answer.errorCode()).isEqualTo("manifest_conflict");
   }
 
-  private HttpCalls.Answer post(String body) {
-    return HttpCalls.post(fleet.url("/v1/completions"), body, "application/json");
+  private TestHttpClient.Response post(String body) {
+    return TestHttpClient.post(fleet.url("/v1/completions"), body, "application/json");
   }
 
-  private String raw(String request) throws IOException {
+  private String sendRaw(String request) throws IOException {
     try (Socket socket =
         new Socket(InetAddress.getLoopbackAddress(), fleet.daemon().callerPort())) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
--- a/daemon/src/test/java/org/mustardlatch/daemon/DaemonProcess.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/DaemonProcess.java
@@ -13,7 +13,7 @@
 
 /** A daemon as a process of its own, so that signals can be sent to it. */
 final class DaemonProcess implements AutoCloseable {
-  private static final Duration START_BOUND = Duration.ofSeconds(60);
+  private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
 
   private final String host;
   private final int callerPort = freePort();
@@ -85,20 +85,20 @@
   }
 
   URI operatorUrl(String path) {
-    return Fleet.url(operatorPort, path);
+    return InProcessFleet.url(operatorPort, path);
   }
 
   void awaitListening() {
-    Await.until(host + " listens", START_BOUND, () -> answers("/healthz"));
+    Await.until(host + " listens", START_TIMEOUT, () -> respondsOk("/healthz"));
   }
 
   void awaitReady() {
-    Await.until(host + " is ready", START_BOUND, () -> answers("/readyz"));
+    Await.until(host + " is ready", START_TIMEOUT, () -> respondsOk("/readyz"));
   }
 
-  private boolean answers(String path) {
+  private boolean respondsOk(String path) {
     try {
-      return HttpCalls.get(operatorUrl(path)).status() == 200;
+      return TestHttpClient.get(operatorUrl(path)).status() == 200;
     } catch (UncheckedIOException e) {
       return false;
     }
--- a/daemon/src/test/java/org/mustardlatch/daemon/DumpTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/DumpTest.java
@@ -9,11 +9,11 @@
 /** Guards against a dump that leaves out the parts that decide. */
 class DumpTest {
   @Test
-  void aDumpShowsDecisionsPeersAndManifest() {
-    try (Fleet fleet =
-        new Fleet(
+  void aDumpContainsRoutingPeersAndManifest() {
+    try (InProcessFleet fleet =
+        new InProcessFleet(
             EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"))) {
-      JsonNode dump = HttpCalls.get(fleet.operatorUrl("/dump")).json();
+      JsonNode dump = TestHttpClient.get(fleet.operatorUrl("/dump")).json();
       assertThat(dump.path("routing").path("admitted_engines")).hasSize(2);
       assertThat(dump.path("routing").path("open_requests").asInt(-1)).isEqualTo(0);
       assertThat(dump.path("peers").path("membership").path("incarnation").asLong())
--- a/daemon/src/test/java/org/mustardlatch/daemon/GoldenSessionTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/GoldenSessionTest.java
@@ -17,15 +17,15 @@
   private static final String JSON = "application/json";
 
   private final ApplicationStandin orders = new ApplicationStandin(0);
-  private final Fleet fleet =
-      new Fleet(
+  private final InProcessFleet fleet =
+      new InProcessFleet(
           EngineOptions.fast("prefill-1", "prefill"),
           EngineOptions.fast("decode-1", "decode"),
           EngineOptions.fast("decode-2", "decode"));
 
   GoldenSessionTest() {
     orders.start();
-    fleet.publish(Fleet.orderRoutes(orders.url()));
+    fleet.publish(InProcessFleet.orderRoutes(orders.url()));
   }
 
   @AfterEach
@@ -42,8 +42,8 @@
   void callerSession() {
     SessionRecorder session = new SessionRecorder("caller");
     session.call(port(), "GET", "/v1/models", "");
-    generate(session, Fleet.body("Anna and Juan", 4, true));
-    generate(session, Fleet.body("Anna and Juan", 4, false));
+    generate(session, InProcessFleet.completionBody("Anna and Juan", 4, true));
+    generate(session, InProcessFleet.completionBody("Anna and Juan", 4, false));
     session.step("mistakes of callers; each gets an error with a code and the next call works");
     generate(session, "{\"model\": \"wording\", \"prompt\": ");
     generate(session, "{\"model\": \"unknown\", \"prompt\": \"x\"}");
@@ -53,14 +53,14 @@
         port(),
         "POST",
         "/v1/completions",
-        Fleet.body("x", 1, false),
+        InProcessFleet.completionBody("x", 1, false),
         "Content-Type",
         JSON,
         "Authorization",
         "Bearer wrong");
     session.call(port(), "GET", "/nowhere", "");
-    generate(session, Fleet.body("x", 2, false));
-    session.check();
+    generate(session, InProcessFleet.completionBody("x", 2, false));
+    session.assertMatchesGoldenFile();
   }
 
   @Test
@@ -81,13 +81,13 @@
     fleet.store().setFaults(ObjectServiceFaults.DOWN);
     confirm(session, port(), "order-3", "{\"order\": 3}");
     session.call(port(), "GET", "/orders/status", "");
-    generate(session, Fleet.body("goes on", 2, false));
+    generate(session, InProcessFleet.completionBody("goes on", 2, false));
     session.step("the object service is back; the caller repeats until it is accepted");
     fleet.store().setFaults(ObjectServiceFaults.NONE);
-    Await.until("order-3 is accepted", Duration.ofSeconds(30), () -> confirmed("order-3"));
+    Await.until("order-3 is accepted", Duration.ofSeconds(30), () -> isConfirmed("order-3"));
     session.step("one more repeat gets the recorded answer");
     confirm(session, port(), "order-3", "{\"order\": 3}");
-    session.check();
+    session.assertMatchesGoldenFile();
     assertThat(orders.runs("order-1")).isEqualTo(1);
     assertThat(orders.runs("order-2")).isEqualTo(1);
     assertThat(orders.runs("order-3")).isEqualTo(1);
@@ -100,28 +100,28 @@
     session.step("a prompt crashes every engine that decodes it");
     fleet.engine(1).faults().crashOnPrompt("poison");
     fleet.engine(2).faults().crashOnPrompt("poison");
-    generate(session, Fleet.body("poison", 8, false));
+    generate(session, InProcessFleet.completionBody("poison", 8, false));
     session.step("the caller sends it again");
-    generate(session, Fleet.body("poison", 8, false));
+    generate(session, InProcessFleet.completionBody("poison", 8, false));
     session.step("the engines are back; another prompt is answered");
     fleet.engine(1).start();
     fleet.engine(2).start();
-    Await.until("engines are used again", Duration.ofSeconds(30), () -> answers("harmless"));
-    generate(session, Fleet.body("harmless", 3, false));
-    session.check();
+    Await.until("engines are used again", Duration.ofSeconds(30), () -> isServed("harmless"));
+    generate(session, InProcessFleet.completionBody("harmless", 3, false));
+    session.assertMatchesGoldenFile();
   }
 
   private void generate(SessionRecorder session, String body) {
     session.call(port(), "POST", "/v1/completions", body, "Content-Type", JSON);
   }
 
-  private boolean answers(String prompt) {
-    return Fleet.complete(port(), prompt, 1, false).status() == 200;
+  private boolean isServed(String prompt) {
+    return InProcessFleet.complete(port(), prompt, 1, false).status() == 200;
   }
 
-  private boolean confirmed(String key) {
-    return HttpCalls.post(
-                Fleet.url(port(), "/orders/confirm"),
+  private boolean isConfirmed(String key) {
+    return TestHttpClient.post(
+                InProcessFleet.url(port(), "/orders/confirm"),
                 "{\"order\": 3}",
                 JSON,
                 "Idempotency-Key",
--- a/daemon/src/test/java/org/mustardlatch/daemon/GracefulStopTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/GracefulStopTest.java
@@ -16,33 +16,33 @@
 /** Guards against planned stops that cut off answers, and against unclear start failures. */
 class GracefulStopTest {
   @Test
-  void aPlannedStopRefusesNewRequestsAsNotRunAndFinishesStreams() throws Exception {
-    try (Fleet fleet =
-            new Fleet(
+  void aGracefulStopRefusesNewRequestsAsNotRunAndFinishesStreams() throws Exception {
+    try (InProcessFleet fleet =
+            new InProcessFleet(
                 EngineOptions.fast("prefill-1", "prefill"),
                 EngineOptions.fast("decode-1", "decode").withTokenGap(Duration.ofMillis(20)));
         ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
       int port = fleet.daemon().callerPort();
-      Future<HttpCalls.Answer> stream =
-          callers.submit(() -> Fleet.complete(port, "last", 60, true));
+      Future<TestHttpClient.Response> stream =
+          callers.submit(() -> InProcessFleet.complete(port, "last", 60, true));
       Await.until(
           "decode runs", Duration.ofSeconds(5), () -> !fleet.engine(1).allocations().isEmpty());
-      HttpCalls.post(fleet.operatorUrl("/drain"), "", "text/plain");
+      TestHttpClient.post(fleet.operatorUrl("/drain"), "", "text/plain");
       Await.until(
           "new requests are refused",
           Duration.ofSeconds(2),
           () -> {
-            HttpCalls.Answer refused = Fleet.complete(port, "late", 1, true);
+            TestHttpClient.Response refused = InProcessFleet.complete(port, "late", 1, true);
             return refused.status() == 503 && refused.body().contains("not run");
           });
-      assertThat(HttpCalls.get(fleet.operatorUrl("/readyz")).status()).isEqualTo(503);
+      assertThat(TestHttpClient.get(fleet.operatorUrl("/readyz")).status()).isEqualTo(503);
       fleet.daemon().awaitDrained();
-      assertThat(stream.get().text()).isEqualTo(TokenText.answer("last", 60));
+      assertThat(stream.get().generatedText()).isEqualTo(TokenText.answer("last", 60));
     }
   }
 
   @Test
-  void wrongCommandLinesAndSettingsExitWithTwo() {
+  void invalidCommandLinesAndSettingsExitWithTwo() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
     assertThat(Main.run(new String[] {"--nonsense"}, out, out)).isEqualTo(2);
--- a/daemon/src/test/java/org/mustardlatch/daemon/Fleet.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/InProcessFleet.java
@@ -14,22 +14,22 @@
 import org.mustardlatch.standin.ObjectServiceStandin;
 
 /** A daemon with stand-in engines inside the test's process, on loopback ports chosen at start. */
-final class Fleet implements AutoCloseable {
-  static final String KEY = "demo-key";
-  static final String KEY_SHA256 =
+final class InProcessFleet implements AutoCloseable {
+  static final String API_KEY = "demo-key";
+  static final String API_KEY_SHA256 =
       "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c";
 
   /** The rate of the manifest; far below what the stand-ins do, so that no prediction is tight. */
-  private static final int NOMINAL_PREFILL_RATE = 100_000;
+  private static final int PREFILL_TOKENS_PER_SECOND = 100_000;
 
   private final List<EngineStandin> engines = new ArrayList<>();
   private final StringBuilder upstreams = new StringBuilder();
   private final ObjectServiceStandin store = new ObjectServiceStandin();
   private final Daemon daemon;
 
-  Fleet(EngineOptions... options) {
+  InProcessFleet(EngineOptions... options) {
     for (EngineOptions option : options) {
-      add(option);
+      addEngine(option);
     }
     store.start(0);
     daemon = new Daemon(settings("entry-1", store.url(), 0));
@@ -38,7 +38,7 @@
     Await.until(
         "ready",
         Duration.ofSeconds(5),
-        () -> HttpCalls.get(operatorUrl("/readyz")).status() == 200);
+        () -> TestHttpClient.get(operatorUrl("/readyz")).status() == 200);
   }
 
   /** Starts a second daemon with the same object service; the caller stops it. */
@@ -48,7 +48,7 @@
     Await.until(
         host + " ready",
         Duration.ofSeconds(5),
-        () -> HttpCalls.get(url(other.operatorPort(), "/readyz")).status() == 200);
+        () -> TestHttpClient.get(url(other.operatorPort(), "/readyz")).status() == 200);
     return other;
   }
 
@@ -57,12 +57,12 @@
   }
 
   /** Sends a completion request through a daemon. */
-  static HttpCalls.Answer complete(int port, String prompt, int tokens, boolean stream) {
-    return HttpCalls.post(
-        url(port, "/v1/completions"), body(prompt, tokens, stream), "application/json");
+  static TestHttpClient.Response complete(int port, String prompt, int tokens, boolean stream) {
+    return TestHttpClient.post(
+        url(port, "/v1/completions"), completionBody(prompt, tokens, stream), "application/json");
   }
 
-  static String body(String prompt, int tokens, boolean stream) {
+  static String completionBody(String prompt, int tokens, boolean stream) {
     return "{\"model\":\"wording\",\"prompt\":\"%s\",\"max_tokens\":%d,\"stream\":%b}"
         .formatted(prompt, tokens, stream);
   }
@@ -94,14 +94,14 @@
   }
 
   /** Publishes the engines with a rate for the workspace, requests per second. */
-  void publishLimited(double rate) {
+  void publishWithRateLimit(double rate) {
     publishText(manifest().replace("[[model]]", "requests_per_second = " + rate + "\n[[model]]"));
   }
 
   private void publishText(String text) {
-    String base = HttpCalls.get(operatorUrl("/status")).json().path("revision").asText();
-    HttpCalls.Answer answer =
-        HttpCalls.post(operatorUrl("/manifest?base=" + base), text, "application/toml");
+    String base = TestHttpClient.get(operatorUrl("/status")).json().path("revision").asText();
+    TestHttpClient.Response answer =
+        TestHttpClient.post(operatorUrl("/manifest?base=" + base), text, "application/toml");
     assertThat(answer.toString()).startsWith("200 ");
   }
 
@@ -139,7 +139,7 @@
     store.close();
   }
 
-  private void add(EngineOptions options) {
+  private void addEngine(EngineOptions options) {
     EngineStandin engine = new EngineStandin(options);
     engine.start();
     engines.add(engine);
@@ -157,7 +157,7 @@
         """
             .formatted(options.name(), options.role(), engine.url(), options.slots()));
     if (!options.role().equals("decode")) {
-      upstreams.append("prefill_tokens_per_second = " + NOMINAL_PREFILL_RATE + "\n");
+      upstreams.append("prefill_tokens_per_second = " + PREFILL_TOKENS_PER_SECOND + "\n");
     }
   }
 
@@ -178,7 +178,7 @@
     token_gap_target_ms = 68
     %s
     """
-        .formatted(KEY_SHA256, upstreams);
+        .formatted(API_KEY_SHA256, upstreams);
   }
 
   static Settings settings(String host, String store, int drainDelayMillis) {
--- a/daemon/src/test/java/org/mustardlatch/daemon/KeyedWorkTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/KeyedRequestTest.java
@@ -10,15 +10,15 @@
 import org.mustardlatch.standin.EngineOptions;
 
 /** Guards against confirmations that run twice or are answered wrongly, through two daemons. */
-class KeyedWorkTest {
+class KeyedRequestTest {
   private final ApplicationStandin application = new ApplicationStandin(0);
-  private final Fleet fleet =
-      new Fleet(EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"));
+  private final InProcessFleet fleet =
+      new InProcessFleet(EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"));
 
   @BeforeEach
   void publishRoutes() {
     application.start();
-    fleet.publish(Fleet.orderRoutes(application.url()));
+    fleet.publish(InProcessFleet.orderRoutes(application.url()));
   }
 
   @AfterEach
@@ -28,12 +28,12 @@
   }
 
   @Test
-  void aRepeatedConfirmationRunsOnceAndGetsTheRecordedAnswerAtEveryNode() {
-    HttpCalls.Answer first = confirm(fleet.daemon(), "key-1", "{\"order\":1}");
+  void aRepeatedConfirmationRunsOnceAndGetsTheRecordedResponseAtEveryNode() {
+    TestHttpClient.Response first = confirm(fleet.daemon(), "key-1", "{\"order\":1}");
     assertThat(first.toString()).startsWith("201 ");
     Daemon other = fleet.startAnother("entry-2", 0);
     try {
-      HttpCalls.Answer repeat = confirm(other, "key-1", "{\"order\":1}");
+      TestHttpClient.Response repeat = confirm(other, "key-1", "{\"order\":1}");
       assertThat(repeat.toString()).isEqualTo(first.toString());
       assertThat(repeat.header("content-type")).isEqualTo(first.header("content-type"));
     } finally {
@@ -43,26 +43,26 @@
   }
 
   @Test
-  void aKeyOfAnotherBodyIsRefused() {
+  void aKeyReusedWithAnotherBodyIsRefused() {
     confirm(fleet.daemon(), "key-2", "{\"order\":1}");
-    assertThat(confirm(fleet.daemon(), "key-2", "{\"order\":2}").code())
+    assertThat(confirm(fleet.daemon(), "key-2", "{\"order\":2}").errorCode())
         .isEqualTo("idempotency_key_reused");
     assertThat(application.runs("key-2")).isEqualTo(1);
   }
 
   @Test
-  void aLostAnswerIsReportedAsUnknownAndNeverRunAgain() {
+  void aConfirmationWithALostResponseIsReportedAsUnknownAndNotRepeated() {
     application.faults().loseAnswers(true);
-    assertThat(confirm(fleet.daemon(), "key-3", "{}").code()).isEqualTo("outcome_unknown");
+    assertThat(confirm(fleet.daemon(), "key-3", "{}").errorCode()).isEqualTo("outcome_unknown");
     application.faults().loseAnswers(false);
-    assertThat(confirm(fleet.daemon(), "key-3", "{}").code()).isEqualTo("outcome_unknown");
+    assertThat(confirm(fleet.daemon(), "key-3", "{}").errorCode()).isEqualTo("outcome_unknown");
     assertThat(application.runs("key-3")).isEqualTo(1);
   }
 
   @Test
-  void aServiceThatIsDownMeansNotRunAndTheSameKeyWorksLater() {
+  void anUnreachableServiceIsReportedAsNotRunAndTheSameKeySucceedsLater() {
     application.stop();
-    HttpCalls.Answer refused = confirm(fleet.daemon(), "key-4", "{}");
+    TestHttpClient.Response refused = confirm(fleet.daemon(), "key-4", "{}");
     assertThat(refused.status()).isEqualTo(503);
     assertThat(refused.body()).contains("not run");
     application.start();
@@ -74,18 +74,18 @@
   }
 
   @Test
-  void aCallWithoutKeyIsRefusedAndALookUpNeedsNone() {
-    HttpCalls.Answer answer =
-        HttpCalls.post(fleet.url("/orders/confirm"), "{}", "application/json");
-    assertThat(answer.code()).isEqualTo("invalid_argument");
-    HttpCalls.Answer status = HttpCalls.get(fleet.url("/orders/status/7?full=yes"));
+  void aConfirmationRequiresAKeyAndALookUpDoesNot() {
+    TestHttpClient.Response answer =
+        TestHttpClient.post(fleet.url("/orders/confirm"), "{}", "application/json");
+    assertThat(answer.errorCode()).isEqualTo("invalid_argument");
+    TestHttpClient.Response status = TestHttpClient.get(fleet.url("/orders/status/7?full=yes"));
     assertThat(status.json().path("path").asText()).isEqualTo("/orders/status/7");
     assertThat(status.json().path("query").asText()).isEqualTo("full=yes");
   }
 
-  private static HttpCalls.Answer confirm(Daemon daemon, String key, String body) {
-    return HttpCalls.post(
-        Fleet.url(daemon.callerPort(), "/orders/confirm"),
+  private static TestHttpClient.Response confirm(Daemon daemon, String key, String body) {
+    return TestHttpClient.post(
+        InProcessFleet.url(daemon.callerPort(), "/orders/confirm"),
         body,
         "application/json",
         "Idempotency-Key",
--- a/daemon/src/test/java/org/mustardlatch/daemon/PlatformListsTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ObjectServiceListsTest.java
@@ -11,9 +11,9 @@
 import org.mustardlatch.standin.EngineOptions;
 
 /** Guards against a host list that nobody reads and nodes that can join by seeds only. */
-class PlatformListsTest {
-  private final Fleet fleet =
-      new Fleet(
+class ObjectServiceListsTest {
+  private final InProcessFleet fleet =
+      new InProcessFleet(
           EngineOptions.fast("prefill-1", "prefill"),
           EngineOptions.fast("decode-1", "decode"),
           EngineOptions.fast("decode-2", "decode"));
@@ -34,27 +34,27 @@
     URI object = URI.create(fleet.store().url() + "/apis/mustardlatch.org/v1/hosts/current");
     HttpRequest put =
         HttpRequest.newBuilder(object).PUT(HttpRequest.BodyPublishers.ofString(list)).build();
-    assertThat(HttpCalls.send(put).status()).isAnyOf(200, 201);
+    assertThat(TestHttpClient.send(put).status()).isAnyOf(200, 201);
     Await.until("five seconds passed", Duration.ofSeconds(10), elapsed(Duration.ofSeconds(5)));
     for (int i = 0; i < 20; i++) {
-      HttpCalls.Answer answer = Fleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
+      TestHttpClient.Response answer = InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
       String id = answer.header("x-request-id");
-      String explained = HttpCalls.get(fleet.operatorUrl("/explain/" + id)).body();
+      String explained = TestHttpClient.get(fleet.operatorUrl("/explain/" + id)).body();
       assertThat(explained).contains("decode=decode-2");
       assertThat(explained).doesNotContain("decode=decode-1");
     }
   }
 
   @Test
-  void nodesWithoutSeedsMeetThroughTheObjectService() {
+  void nodesWithoutSeedsDiscoverEachOtherThroughTheObjectService() {
     Daemon other = fleet.startAnother("entry-2", 0);
     try {
       Await.until(
           "two members",
           Duration.ofSeconds(30),
           () ->
-              HttpCalls.get(fleet.operatorUrl("/status")).json().path("members").size() == 2
-                  && HttpCalls.get(Fleet.url(other.operatorPort(), "/status"))
+              TestHttpClient.get(fleet.operatorUrl("/status")).json().path("members").size() == 2
+                  && TestHttpClient.get(InProcessFleet.url(other.operatorPort(), "/status"))
                           .json()
                           .path("members")
                           .size()
--- a/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
@@ -31,11 +31,11 @@
 /** Guards against faults that only signals to real processes bring about. */
 class ProcessFaultTest {
   /** Design 4.6: detection, suspicion, refutation time and sweep. */
-  private static final Duration NODE_GONE_BOUND = Duration.ofSeconds(20);
+  private static final Duration DEAD_NODE_CLEANUP_TIMEOUT = Duration.ofSeconds(20);
 
-  private static final Duration STEP_BOUND = Duration.ofSeconds(30);
-  private static final int ENDLESS = 10_000;
-  private static final int BURST = 400;
+  private static final Duration STEP_TIMEOUT = Duration.ofSeconds(30);
+  private static final int ENDLESS_TOKENS = 10_000;
+  private static final int CONNECTION_BURST = 400;
 
   @TempDir Path directory;
 
@@ -44,13 +44,13 @@
   private final List<EngineStandin> engines =
       List.of(
           new EngineStandin(EngineOptions.fast("prefill-1", "prefill")),
-          new EngineStandin(slow("decode-1")),
-          new EngineStandin(slow("decode-2")));
+          new EngineStandin(slowDecodeEngine("decode-1")),
+          new EngineStandin(slowDecodeEngine("decode-2")));
   private final ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor();
   private DaemonProcess first;
   private DaemonProcess second;
 
-  private static EngineOptions slow(String name) {
+  private static EngineOptions slowDecodeEngine(String name) {
     return EngineOptions.fast(name, "decode").withTokenGap(Duration.ofMillis(20));
   }
 
@@ -64,8 +64,8 @@
     first = new DaemonProcess(directory, "entry-1", store.url(), firstPeer, secondPeer);
     second = new DaemonProcess(directory, "entry-2", store.url(), secondPeer, firstPeer);
     first.awaitListening();
-    HttpCalls.Answer published =
-        HttpCalls.post(first.operatorUrl("/manifest?base=0"), manifest(), "application/toml");
+    TestHttpClient.Response published =
+        TestHttpClient.post(first.operatorUrl("/manifest?base=0"), manifest(), "application/toml");
     assertThat(published.toString()).startsWith("200 ");
     first.awaitReady();
     second.awaitReady();
@@ -84,34 +84,34 @@
   }
 
   @Test
-  void aKilledNodeLeavesNoEngineMemoryBehind() {
-    Future<HttpCalls.Answer> lost = callers.submit(() -> complete(first, "killed", ENDLESS));
+  void engineMemoryOfAKilledNodeIsFreed() {
+    Future<TestHttpClient.Response> lost = callers.submit(() -> complete(first, "killed", ENDLESS_TOKENS));
     awaitDecoding(lost);
     first.signal("KILL");
-    awaitNothingAllocated(NODE_GONE_BOUND);
-    assertThat(complete(second, "after", 10).text()).isEqualTo(TokenText.answer("after", 10));
+    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
+    assertThat(complete(second, "after", 10).generatedText()).isEqualTo(TokenText.answer("after", 10));
     lost.cancel(true);
   }
 
   @Test
-  void aFrozenNodeLosesItsEngineMemoryAndServesAgainWhenItThaws() {
-    Future<HttpCalls.Answer> frozen = callers.submit(() -> complete(first, "frozen", ENDLESS));
+  void engineMemoryOfASuspendedNodeIsFreedAndTheNodeServesAgainAfterResuming() {
+    Future<TestHttpClient.Response> frozen = callers.submit(() -> complete(first, "frozen", ENDLESS_TOKENS));
     awaitDecoding(frozen);
     first.signal("STOP");
-    awaitNothingAllocated(NODE_GONE_BOUND);
+    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
     first.signal("CONT");
-    Await.until("thawed node serves", STEP_BOUND, () -> serves(first, "thawed"));
+    Await.until("thawed node serves", STEP_TIMEOUT, () -> completesCorrectly(first, "thawed"));
     frozen.cancel(true);
-    awaitNothingAllocated(NODE_GONE_BOUND);
+    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
   }
 
   @Test
-  void connectionsThatArriveWhileTheNodeIsStoppedAreServedWhenItGoesOn() throws Exception {
+  void connectionsOpenedWhileTheNodeIsSuspendedAreServedAfterItResumes() throws Exception {
     first.signal("STOP");
-    CountDownLatch written = new CountDownLatch(BURST);
+    CountDownLatch written = new CountDownLatch(CONNECTION_BURST);
     List<Future<String>> answers = new ArrayList<>();
-    for (int i = 0; i < BURST; i++) {
-      answers.add(callers.submit(() -> askInTwoSegments(first.callerPort(), written)));
+    for (int i = 0; i < CONNECTION_BURST; i++) {
+      answers.add(callers.submit(() -> sendInTwoSegments(first.callerPort(), written)));
     }
     // With a short queue, clients connect again after 1 s, all at once, and overflow it once more.
     var unused = written.await(300, TimeUnit.MILLISECONDS);
@@ -122,9 +122,9 @@
   }
 
   /** Sends a request as clients do that write its head and the rest on their own. */
-  private static String askInTwoSegments(int port, CountDownLatch written) throws IOException {
+  private static String sendInTwoSegments(int port, CountDownLatch written) throws IOException {
     try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      s.setSoTimeout((int) STEP_BOUND.toMillis());
+      s.setSoTimeout((int) STEP_TIMEOUT.toMillis());
       s.setTcpNoDelay(true);
       s.getOutputStream().write("GET /nothing HTTP/1.1\r\nHost: router\r\n".getBytes(US_ASCII));
       s.getOutputStream().write("Connection: close\r\n\r\n".getBytes(US_ASCII));
@@ -134,23 +134,23 @@
   }
 
   @Test
-  void aPlannedStopFinishesTheStreamAndExitsWithZero() throws Exception {
-    Future<HttpCalls.Answer> stream = callers.submit(() -> complete(first, "last", 150));
+  void aGracefulStopFinishesTheStreamAndExitsWithZero() throws Exception {
+    Future<TestHttpClient.Response> stream = callers.submit(() -> complete(first, "last", 150));
     awaitDecoding(stream);
     first.signal("TERM");
-    assertThat(stream.get().text()).isEqualTo(TokenText.answer("last", 150));
-    assertThat(first.awaitExit(STEP_BOUND)).isEqualTo(0);
+    assertThat(stream.get().generatedText()).isEqualTo(TokenText.answer("last", 150));
+    assertThat(first.awaitExit(STEP_TIMEOUT)).isEqualTo(0);
   }
 
   @Test
-  void aConfirmationOfAKilledNodeIsNeverRunAgain() {
+  void aConfirmationStartedByAKilledNodeIsNotRunAgain() {
     orders.faults().stall(true);
     Future<?> lost = callers.submit(() -> confirm(first, "order-1"));
-    Await.until("dispatched", STEP_BOUND, () -> orders.faults().waiting() > 0);
+    Await.until("dispatched", STEP_TIMEOUT, () -> orders.faults().waiting() > 0);
     first.signal("KILL");
-    assertThat(confirm(second, "order-1").code()).isAnyOf("in_progress", "outcome_unknown");
+    assertThat(confirm(second, "order-1").errorCode()).isAnyOf("in_progress", "outcome_unknown");
     orders.faults().stall(false);
-    Await.until("the first run ends", STEP_BOUND, () -> orders.runs("order-1") > 0);
+    Await.until("the first run ends", STEP_TIMEOUT, () -> orders.runs("order-1") > 0);
     assertThat(confirm(second, "order-1").status()).isNotEqualTo(503);
     assertThat(orders.runs("order-1")).isEqualTo(1);
     lost.cancel(true);
@@ -159,14 +159,14 @@
   private static void awaitMembers(DaemonProcess node, int count) {
     Await.until(
         count + " members",
-        STEP_BOUND,
-        () -> HttpCalls.get(node.operatorUrl("/status")).json().path("members").size() == count);
+        STEP_TIMEOUT,
+        () -> TestHttpClient.get(node.operatorUrl("/status")).json().path("members").size() == count);
   }
 
-  private void awaitDecoding(Future<HttpCalls.Answer> answer) {
+  private void awaitDecoding(Future<TestHttpClient.Response> answer) {
     Await.until(
         "decode runs",
-        STEP_BOUND,
+        STEP_TIMEOUT,
         () -> {
           assertWithMessage("answer before decode").that(answer.state()).isEqualTo(RUNNING);
           return engines.get(1).allocations().size() + engines.get(2).allocations().size() > 0;
@@ -180,21 +180,21 @@
         () -> engines.stream().allMatch(e -> e.allocations().isEmpty()));
   }
 
-  private static boolean serves(DaemonProcess node, String prompt) {
+  private static boolean completesCorrectly(DaemonProcess node, String prompt) {
     try {
-      return complete(node, prompt, 5).text().equals(TokenText.answer(prompt, 5));
+      return complete(node, prompt, 5).generatedText().equals(TokenText.answer(prompt, 5));
     } catch (UncheckedIOException e) {
       return false;
     }
   }
 
-  private static HttpCalls.Answer complete(DaemonProcess node, String prompt, int tokens) {
-    return Fleet.complete(node.callerPort(), prompt, tokens, true);
+  private static TestHttpClient.Response complete(DaemonProcess node, String prompt, int tokens) {
+    return InProcessFleet.complete(node.callerPort(), prompt, tokens, true);
   }
 
-  private static HttpCalls.Answer confirm(DaemonProcess node, String key) {
-    return HttpCalls.post(
-        Fleet.url(node.callerPort(), "/orders/confirm"),
+  private static TestHttpClient.Response confirm(DaemonProcess node, String key) {
+    return TestHttpClient.post(
+        InProcessFleet.url(node.callerPort(), "/orders/confirm"),
         "{\"order\": 1}",
         "application/json",
         "Idempotency-Key",
@@ -217,8 +217,8 @@
             name = "wording"
             first_token_target_ms = 60_000
             """
-                .formatted(Fleet.KEY_SHA256));
-    text.append(Fleet.orderRoutes(orders.url()));
+                .formatted(InProcessFleet.API_KEY_SHA256));
+    text.append(InProcessFleet.orderRoutes(orders.url()));
     addEngine(text, "prefill-1", "prefill", 0);
     addEngine(text, "decode-1", "decode", 1);
     addEngine(text, "decode-2", "decode", 2);
--- a/daemon/src/test/java/org/mustardlatch/daemon/RequestPathTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/RequestPathTest.java
@@ -20,13 +20,13 @@
 
 /** Guards against answers that are incomplete, of another request, or leave memory behind. */
 class RequestPathTest {
-  private static final Duration GAP = Duration.ofMillis(10);
+  private static final Duration TOKEN_GAP = Duration.ofMillis(10);
 
-  private final Fleet fleet =
-      new Fleet(
+  private final InProcessFleet fleet =
+      new InProcessFleet(
           EngineOptions.fast("prefill-1", "prefill"),
-          EngineOptions.fast("decode-1", "decode").withTokenGap(GAP),
-          EngineOptions.fast("decode-2", "decode").withTokenGap(GAP));
+          EngineOptions.fast("decode-1", "decode").withTokenGap(TOKEN_GAP),
+          EngineOptions.fast("decode-2", "decode").withTokenGap(TOKEN_GAP));
 
   @AfterEach
   void close() {
@@ -34,26 +34,26 @@
   }
 
   @Test
-  void aStreamCarriesTheWholeAnswerAndItsEnd() {
-    HttpCalls.Answer answer = complete("write a wedding envelope", 20, true);
-    assertThat(answer.text()).isEqualTo(TokenText.answer("write a wedding envelope", 20));
+  void aStreamCarriesTheWholeOutputAndTheEndMarker() {
+    TestHttpClient.Response answer = complete("write a wedding envelope", 20, true);
+    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("write a wedding envelope", 20));
     assertThat(answer.body()).endsWith("data: [DONE]\n\n");
     fleet.awaitNothingAllocated(Duration.ofSeconds(5));
     String id = answer.header("x-request-id");
-    assertThat(HttpCalls.get(fleet.operatorUrl("/explain/" + id)).body()).contains("rule");
+    assertThat(TestHttpClient.get(fleet.operatorUrl("/explain/" + id)).body()).contains("rule");
   }
 
   @Test
-  void anAnswerInOnePieceTellsItsUsage() {
-    HttpCalls.Answer answer = complete("write a birthday envelope", 7, false);
-    assertThat(answer.text()).isEqualTo(TokenText.answer("write a birthday envelope", 7));
+  void aNonStreamedResponseContainsItsUsage() {
+    TestHttpClient.Response answer = complete("write a birthday envelope", 7, false);
+    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("write a birthday envelope", 7));
     assertThat(answer.json().path("usage").path("completion_tokens").asInt()).isEqualTo(7);
   }
 
   @Test
-  void aChatAnswerBelongsToItsMessages() {
-    HttpCalls.Answer answer =
-        HttpCalls.post(
+  void aChatCompletionIsGeneratedFromItsMessages() {
+    TestHttpClient.Response answer =
+        TestHttpClient.post(
             fleet.url("/v1/chat/completions"),
             """
             {"model": "wording", "max_completion_tokens": 5,
@@ -64,53 +64,53 @@
   }
 
   @Test
-  void twoHundredConcurrentStreamsEachCarryTheirOwnAnswer() throws Exception {
-    List<Future<HttpCalls.Answer>> answers = new ArrayList<>();
+  void twoHundredConcurrentStreamsEachCarryTheirOwnOutput() throws Exception {
+    List<Future<TestHttpClient.Response>> answers = new ArrayList<>();
     try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
       for (int i = 0; i < 200; i++) {
         String prompt = "guest list number " + i;
         answers.add(callers.submit(() -> complete(prompt, 20, true)));
       }
       for (int i = 0; i < 200; i++) {
-        HttpCalls.Answer answer = answers.get(i).get();
+        TestHttpClient.Response answer = answers.get(i).get();
         assertWithMessage(explain(answer)).that(answer.toString()).startsWith("200 ");
-        assertThat(answer.text()).isEqualTo(TokenText.answer("guest list number " + i, 20));
+        assertThat(answer.generatedText()).isEqualTo(TokenText.answer("guest list number " + i, 20));
       }
     }
     fleet.awaitNothingAllocated(Duration.ofSeconds(5));
   }
 
   @Test
-  void aCallerThatLeavesBeforeTheFirstTokenFreesTheEngines() throws IOException {
+  void aDisconnectBeforeTheFirstTokenFreesTheEngines() throws IOException {
     fleet.engine(1).faults().stall(true);
     fleet.engine(2).faults().stall(true);
-    leaveDuring("a list that nobody waits for");
+    disconnectDuringDecode("a list that nobody waits for");
   }
 
   @Test
-  void aCallerThatLeavesDuringAStreamFreesTheEngines() throws IOException {
-    leaveDuring("a long list that nobody reads to the end");
+  void aDisconnectDuringAStreamFreesTheEngines() throws IOException {
+    disconnectDuringDecode("a long list that nobody reads to the end");
   }
 
   @Test
-  void aDecodeEngineThatDiesMidStreamLeavesNeitherGapNorDuplicate() {
+  void aDecodeEngineCrashMidStreamCausesNeitherGapNorDuplicate() {
     fleet.engine(1).faults().crashAfter(7);
     for (int i = 0; i < 4; i++) {
-      HttpCalls.Answer answer = complete("names " + i, 25, true);
-      assertThat(answer.text()).isEqualTo(TokenText.answer("names " + i, 25));
+      TestHttpClient.Response answer = complete("names " + i, 25, true);
+      assertThat(answer.generatedText()).isEqualTo(TokenText.answer("names " + i, 25));
       assertThat(answer.body()).endsWith("data: [DONE]\n\n");
     }
     fleet.awaitNothingAllocated(Duration.ofSeconds(5));
   }
 
   @Test
-  void aConnectionThatGoesSilentDoesNotLoseTheAnswer() throws Exception {
+  void anEngineConnectionThatStopsSendingDoesNotLoseOutput() throws Exception {
     try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
-      Future<HttpCalls.Answer> answer = callers.submit(() -> complete("silent", 60, true));
-      Await.until("decode runs", Duration.ofSeconds(5), () -> decoding() > 0);
+      Future<TestHttpClient.Response> answer = callers.submit(() -> complete("silent", 60, true));
+      Await.until("decode runs", Duration.ofSeconds(5), () -> decodeAllocations() > 0);
       fleet.engine(1).goSilent();
       fleet.engine(2).goSilent();
-      assertThat(answer.get().text()).isEqualTo(TokenText.answer("silent", 60));
+      assertThat(answer.get().generatedText()).isEqualTo(TokenText.answer("silent", 60));
     }
     fleet.awaitNothingAllocated(Duration.ofSeconds(5));
   }
@@ -119,38 +119,38 @@
   void cancelsAreRepeatedUntilTheEngineAcknowledgesThem() throws IOException {
     fleet.engine(1).faults().ignoreCancels(2);
     fleet.engine(2).faults().ignoreCancels(2);
-    leaveDuring("a list whose cancel gets lost");
+    disconnectDuringDecode("a list whose cancel gets lost");
   }
 
   /** Closes the connection of a long request and checks that the engines forget it. */
-  private void leaveDuring(String prompt) throws IOException {
-    String body = Fleet.body(prompt, 10_000, true);
+  private void disconnectDuringDecode(String prompt) throws IOException {
+    String body = InProcessFleet.completionBody(prompt, 10_000, true);
     try (Socket socket =
         new Socket(InetAddress.getLoopbackAddress(), fleet.daemon().callerPort())) {
       socket
           .getOutputStream()
           .write(
               ("POST /v1/completions HTTP/1.1\r\nHost: router\r\nAuthorization: Bearer "
-                      + Fleet.KEY
+                      + InProcessFleet.API_KEY
                       + "\r\nContent-Length: "
                       + body.length()
                       + "\r\n\r\n"
                       + body)
                   .getBytes(StandardCharsets.US_ASCII));
-      Await.until("decode runs", Duration.ofSeconds(5), () -> decoding() > 0);
+      Await.until("decode runs", Duration.ofSeconds(5), () -> decodeAllocations() > 0);
     }
     fleet.awaitNothingAllocated(Duration.ofSeconds(5));
   }
 
-  private String explain(HttpCalls.Answer answer) {
-    return HttpCalls.get(fleet.operatorUrl("/explain/" + answer.header("x-request-id"))).body();
+  private String explain(TestHttpClient.Response answer) {
+    return TestHttpClient.get(fleet.operatorUrl("/explain/" + answer.header("x-request-id"))).body();
   }
 
-  private int decoding() {
+  private int decodeAllocations() {
     return fleet.engine(1).allocations().size() + fleet.engine(2).allocations().size();
   }
 
-  private HttpCalls.Answer complete(String prompt, int tokens, boolean stream) {
-    return Fleet.complete(fleet.daemon().callerPort(), prompt, tokens, stream);
+  private TestHttpClient.Response complete(String prompt, int tokens, boolean stream) {
+    return InProcessFleet.complete(fleet.daemon().callerPort(), prompt, tokens, stream);
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/SessionRecorder.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/SessionRecorder.java
@@ -37,8 +37,8 @@
   }
 
   /** Sends a call with the demo key and records it with its answer. */
-  HttpCalls.Answer call(int port, String method, String path, String body, String... headers) {
-    HttpRequest.Builder request = HttpCalls.request(Fleet.url(port, path));
+  TestHttpClient.Response call(int port, String method, String path, String body, String... headers) {
+    HttpRequest.Builder request = TestHttpClient.request(InProcessFleet.url(port, path));
     request.method(
         method, body.isEmpty() ? BodyPublishers.noBody() : BodyPublishers.ofString(body));
     text.append("> ").append(method).append(' ').append(path).append('\n');
@@ -47,9 +47,9 @@
       text.append(headers[i]).append(": ").append(headers[i + 1]).append('\n');
     }
     if (!body.isEmpty()) {
-      text.append(shortened(body)).append('\n');
+      text.append(abbreviate(body)).append('\n');
     }
-    HttpCalls.Answer answer = HttpCalls.send(request.build());
+    TestHttpClient.Response answer = TestHttpClient.send(request.build());
     text.append("< ").append(answer.status()).append('\n');
     for (String header : List.of("content-type", "retry-after")) {
       if (!answer.header(header).isEmpty()) {
@@ -60,12 +60,12 @@
     return answer;
   }
 
-  private static String shortened(String body) {
+  private static String abbreviate(String body) {
     return body.length() <= 400 ? body : body.substring(0, 40) + "... " + body.length() + " bytes";
   }
 
   /** Compares the session with its golden file. */
-  void check() {
+  void assertMatchesGoldenFile() {
     String actual = text.toString();
     for (String[] r : REPLACEMENTS) {
       actual = actual.replaceAll(r[0], r[1]);
--- a/daemon/src/test/java/org/mustardlatch/daemon/HttpCalls.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/TestHttpClient.java
@@ -16,18 +16,18 @@
 import java.util.Map;
 
 /** HTTP calls of a caller, by the client of the JDK so that client and daemon share no code. */
-final class HttpCalls {
+final class TestHttpClient {
   private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private HttpCalls() {}
+  private TestHttpClient() {}
 
-  static Answer get(URI url) {
+  static Response get(URI url) {
     return send(request(url).GET().build());
   }
 
-  static Answer post(URI url, String body, String type, String... headers) {
+  static Response post(URI url, String body, String type, String... headers) {
     HttpRequest.Builder request =
         request(url).header("Content-Type", type).POST(BodyPublishers.ofString(body));
     return send(headers.length == 0 ? request.build() : request.headers(headers).build());
@@ -36,13 +36,13 @@
   static HttpRequest.Builder request(URI url) {
     return HttpRequest.newBuilder(url)
         .timeout(Duration.ofSeconds(20))
-        .header("Authorization", "Bearer " + Fleet.KEY);
+        .header("Authorization", "Bearer " + InProcessFleet.API_KEY);
   }
 
-  static Answer send(HttpRequest request) {
+  static Response send(HttpRequest request) {
     try {
       HttpResponse<String> response = CLIENT.send(request, BodyHandlers.ofString());
-      return new Answer(response.statusCode(), response.headers().map(), response.body());
+      return new Response(response.statusCode(), response.headers().map(), response.body());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     } catch (InterruptedException e) {
@@ -59,13 +59,13 @@
   }
 
   /** An answer with its body as text. */
-  record Answer(int status, Map<String, List<String>> headers, String body) {
+  record Response(int status, Map<String, List<String>> headers, String body) {
     JsonNode json() {
       return parse(body);
     }
 
     /** Returns the text of a stream of completions or of a whole completion. */
-    String text() {
+    String generatedText() {
       if (!body.startsWith("data: ")) {
         return json().path("choices").path(0).path("text").asText();
       }
@@ -81,7 +81,7 @@
       return headers.getOrDefault(name, List.of("")).get(0);
     }
 
-    String code() {
+    String errorCode() {
       return json().path("error").path("code").asText();
     }
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
@@ -18,21 +18,21 @@
   private static final double ERROR_SECONDS = 2;
 
   @Test
-  void aWorkspaceGetsNoMoreThanItsRateAndIsToldWhenToComeBack() {
-    try (Fleet fleet =
-        new Fleet(
+  void aWorkspaceIsLimitedToItsRateAndRefusalsCarryRetryAfter() {
+    try (InProcessFleet fleet =
+        new InProcessFleet(
             EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"))) {
-      fleet.publishLimited(RATE);
+      fleet.publishWithRateLimit(RATE);
       long start = System.nanoTime();
       int granted = 0;
       int limited = 0;
       for (int i = 0; i < 40; i++) {
-        HttpCalls.Answer answer =
-            Fleet.complete(fleet.daemon().callerPort(), "names " + i, 1, false);
+        TestHttpClient.Response answer =
+            InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 1, false);
         if (answer.status() == 200) {
           granted++;
         } else {
-          assertThat(answer.code()).isEqualTo("rate_limited");
+          assertThat(answer.errorCode()).isEqualTo("rate_limited");
           assertThat(answer.header("retry-after")).isNotEmpty();
           limited++;
         }
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ManifestStoreTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ManifestStoreTest.java
@@ -17,7 +17,7 @@
 
 /** Guards against lost, doubled and overwritten publications of a manifest. */
 class ManifestStoreTest {
-  private static final Duration SETTLE = Duration.ofSeconds(10);
+  private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(10);
   private static final ObjectStoreTimeouts TIMEOUTS =
       new ObjectStoreTimeouts(
           Duration.ofMillis(500),
@@ -39,17 +39,17 @@
   }
 
   @Test
-  void revisionsGrowByOne() throws Exception {
+  void revisionsIncreaseByOne() throws Exception {
     assertThat(get(manifests.read())).hasValue(ManifestRevision.NONE);
-    assertThat(get(manifests.publish(0, "a", SETTLE))).isEqualTo(new PublishResult.Published(1));
-    assertThat(get(manifests.publish(1, "b", SETTLE))).isEqualTo(new PublishResult.Published(2));
+    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(1));
+    assertThat(get(manifests.publish(1, "b", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(2));
     assertThat(get(manifests.read())).hasValue(new ManifestRevision(2, "b"));
   }
 
   @Test
-  void exactlyOneOfTwoConcurrentPublishersWinsAndTheOtherGetsItsText() throws Exception {
-    CompletableFuture<PublishResult> a = manifests.publish(0, "a", SETTLE);
-    CompletableFuture<PublishResult> b = manifests.publish(0, "b", SETTLE);
+  void ofTwoConcurrentPublishersOneSucceedsAndTheOtherGetsTheConflictingManifest() throws Exception {
+    CompletableFuture<PublishResult> a = manifests.publish(0, "a", RESOLVE_TIMEOUT);
+    CompletableFuture<PublishResult> b = manifests.publish(0, "b", RESOLVE_TIMEOUT);
     List<PublishResult> results = List.of(get(a), get(b));
     String winner = results.get(0) instanceof PublishResult.Published ? "a" : "b";
     assertThat(results)
@@ -59,15 +59,15 @@
   }
 
   @Test
-  void lostAnswersAreReadBackAndThePublicationIsStoredOnce() throws Exception {
+  void aLostResponseIsResolvedByReadingBackAndThePublicationIsStoredOnce() throws Exception {
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(get(manifests.publish(0, "a", SETTLE))).isEqualTo(new PublishResult.Published(1));
+    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(1));
     assertThat(get(manifests.read())).hasValue(new ManifestRevision(1, "a"));
     assertThat(standin.calls("put")).isEqualTo(1);
   }
 
   @Test
-  void outageRefusesThePublicationBecauseNothingWasWritten() throws Exception {
+  void publicationDuringAnOutageIsRefused() throws Exception {
     standin.setFaults(ObjectServiceFaults.DOWN);
     assertThat(get(manifests.publish(0, "a", Duration.ofMillis(300))))
         .isInstanceOf(PublishResult.Refused.class);
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void createsReadsAndUpdatesOnConditionOfTheVersion() throws Exception {
+  void createsReadsAndUpdatesConditionallyOnTheVersion() throws Exception {
     assertThat(read()).isInstanceOf(ReadResult.NotFound.class);
     String first = ((WriteResult.Stored) write("", "a")).version();
     String second = ((WriteResult.Stored) write(first, "b")).version();
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void updateOfAnOldVersionAndSecondCreateConflict() throws Exception {
+  void staleUpdateAndSecondCreateConflict() throws Exception {
     String first = ((WriteResult.Stored) write("", "a")).version();
     write(first, "b");
     assertThat(write(first, "c")).isEqualTo(new WriteResult.Conflict());
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void lostAnswerOfAnAppliedUpdateIsUnknownAndNotSentTwice() throws Exception {
+  void updateWithALostResponseIsUnknownAndNotSentTwice() throws Exception {
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
     assertThat(write("", "a")).isInstanceOf(WriteResult.Unknown.class);
     assertThat(read()).isInstanceOf(ReadResult.Found.class);
@@ -69,14 +69,14 @@
   }
 
   @Test
-  void serviceThatClosesConnectionsMakesAnUpdateUnknownAndAReadFail() throws Exception {
+  void closedConnectionsMakeAnUpdateUnknownAndAReadFail() throws Exception {
     standin.setFaults(ObjectServiceFaults.DOWN);
     assertThat(write("", "a")).isInstanceOf(WriteResult.Unknown.class);
     assertThat(read()).isInstanceOf(ReadResult.Failed.class);
   }
 
   @Test
-  void updateThatNeverLeftTheProcessIsRefused() throws Exception {
+  void updateThatWasNeverSentIsRefused() throws Exception {
     standin.close();
     assertThat(write("", "a")).isInstanceOf(WriteResult.Refused.class);
   }
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void rateLimitIsADefiniteRefusalWithItsWaitingTime() throws Exception {
+  void rateLimitedUpdateIsRefusedWithItsRetryAfter() throws Exception {
     standin.setFaults(ObjectServiceFaults.limited(1, 0));
     WriteResult last = write("", "a");
     for (int i = 0; i < 5 && !(last instanceof WriteResult.Refused); i++) {
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void tooLargeObjectIsRefusedAsTooLarge() throws Exception {
+  void oversizedObjectIsRefusedAsTooLarge() throws Exception {
     WriteResult result = write("", "x".repeat(ObjectServiceStandin.MAX_OBJECT_BYTES));
     assertThat(result).isEqualTo(new WriteResult.Refused("status 413", true, Duration.ZERO));
   }
