--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -28,10 +28,10 @@
 import org.mustardlatch.daemon.caller.CallerApi;
 import org.mustardlatch.daemon.ledger.LedgerService;
 import org.mustardlatch.daemon.ledger.LedgerSettings;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.AppliedManifest;
 import org.mustardlatch.daemon.node.EventLoop;
 import org.mustardlatch.daemon.node.HostListPoller;
-import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.ManifestService;
 import org.mustardlatch.daemon.node.NodeRegistration;
 import org.mustardlatch.daemon.node.NodeState;
@@ -51,7 +51,7 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** One node: puts the services together, starts and stops them. */
+/** One node of the router. Creates, connects, starts and stops the services of the node. */
 public final class Daemon {
   private static final Duration DRAIN_POLL_PERIOD = Duration.ofMillis(20);
   private static final Duration LEDGER_DRAIN_TIMEOUT = Duration.ofSeconds(10);
@@ -60,7 +60,7 @@
   private final NodeState state = new NodeState();
   private final EventLoop routingLoop = new EventLoop("routing");
   private final ExecutorService callExecutor = Executors.newVirtualThreadPerTaskExecutor();
-  private final ActiveManifest activeManifest = new ActiveManifest();
+  private final ActiveManifest manifest = new ActiveManifest();
   private final UpstreamHosts upstreamHosts = new UpstreamHosts();
   private final EventLoop peerLoop = new EventLoop("peers");
   private final PeerBinding peers;
@@ -68,28 +68,32 @@
   private final ManifestService manifestService;
   private final LedgerService ledger;
   private final RoutingService routing;
-  private final UpstreamPoller poller;
-  private final WorkspaceRateLimiter workspaceRates;
+  private final UpstreamPoller upstreamPoller;
+  private final WorkspaceRateLimiter workspaceRateLimiter;
   private final HostListPoller hostListPoller;
   private final NodeRegistration registration;
   private final CallerApi callerApi;
   private final OperatorApi operatorApi;
   private final CountDownLatch drained = new CountDownLatch(1);
 
-  /** Creates a node that is not started. */
+  /** Creates a node that is not started yet. */
   public Daemon(Settings settings) {
     this.settings = settings;
     long incarnation = Instant.now().toEpochMilli();
-    peers = new PeerBinding(settings, incarnation, peerLoop, activeManifest, this::post);
-    RandomGenerator random = new SecureRandom();
+    peers = new PeerBinding(settings, incarnation, peerLoop, manifest, this::post);
+    RandomGenerator secureRandom = new SecureRandom();
     NodeRouter router =
         new NodeRouter(
             settings.host(),
             settings.region(),
             incarnation,
             RandomGenerator.of("L64X128MixRandom"));
-    store = new ObjectStoreClient(settings.objectServiceUrl(), ObjectStoreTimeouts.DEFAULT, routingLoop);
-    manifestService = new ManifestService(new ManifestStore(store, routingLoop, random), peers.service(), routingLoop);
+    store =
+        new ObjectStoreClient(
+            settings.objectServiceUrl(), ObjectStoreTimeouts.DEFAULT, routingLoop);
+    manifestService =
+        new ManifestService(
+            new ManifestStore(store, routingLoop, secureRandom), peers.service(), routingLoop);
     ledger =
         new LedgerService(
             new LedgerSettings(
@@ -101,45 +105,56 @@
             store,
             Optional.of(peers.service()::send),
             InstantSource.system(),
-            random);
+            secureRandom);
     AttemptOwner owner = new AttemptOwner(settings.host(), router::incarnation);
-    EngineClient engines = new EngineClient(upstreamHosts, activeManifest, routingLoop, callExecutor, owner, this::post);
+    EngineClient engines =
+        new EngineClient(
+            upstreamHosts, manifest, routingLoop, callExecutor, owner, this::post);
     routing = new RoutingService(routingLoop, router, engines, peers.service()::send);
-    poller = new UpstreamPoller(upstreamHosts, router::admittedEngines, routingLoop, callExecutor, this::post);
+    upstreamPoller =
+        new UpstreamPoller(
+            upstreamHosts, router::admittedEngines, routingLoop, callExecutor, this::post);
     hostListPoller =
         new HostListPoller(
-            store, activeManifest, routingLoop, id -> post(new RoutingEvent.UpstreamLeaving(id)));
+            store, manifest, routingLoop, id -> post(new RoutingEvent.UpstreamLeaving(id)));
     registration =
         new NodeRegistration(
             settings.host(), store, peers.service(), routingLoop, () -> peers.liveMembers().size());
-    workspaceRates = new WorkspaceRateLimiter(peers.service(), peers, activeManifest, settings.region());
+    workspaceRateLimiter =
+        new WorkspaceRateLimiter(peers.service(), peers, manifest, settings.region());
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     callerApi =
         new CallerApi(
             settings.callerAddress(),
             state,
-            activeManifest,
+            manifest,
             routing,
             ledger,
             new ApplicationClient(upstreamHosts),
-            workspaceRates,
+            workspaceRateLimiter,
             new RequestMetrics(registry));
     operatorApi =
         new OperatorApi(
             settings.operatorAddress(),
             state,
-            activeManifest,
+            manifest,
             new NodeInspector(
-                settings, state, activeManifest, peers, routing, engines, () -> dumpInternals(router)),
+                settings,
+                state,
+                manifest,
+                peers,
+                routing,
+                engines,
+                () -> dumpInternals(router)),
             manifestService,
             this::drain,
             registry);
   }
 
-  /** Starts all services. The node is ready when a manifest is in force. */
+  /** Starts all services. The node becomes ready once it has a sufficiently recent manifest. */
   public void start() {
     EventLog.log(LogEvent.DAEMON_STARTING, settings.host(), settings.zone(), peers.incarnation());
-    var unused = activeManifest.changes().subscribe(this::applyManifest);
+    var unused = manifest.changes().subscribe(this::applyManifest);
     peers.service().addListener(new ReadinessListener());
     peers.service().addListener(new LedgerListener());
     peers.service().addListener(new WorkspaceRateListener());
@@ -147,12 +162,12 @@
     registration.start(peers.service().start());
     manifestService.start();
     ledger.start();
-    poller.start();
+    upstreamPoller.start();
     operatorApi.start();
     callerApi.start();
   }
 
-  /** Begins a graceful stop; returns at once. {@link #awaitDrained} tells when it is over. */
+  /** Begins a graceful stop and returns immediately; {@link #awaitDrained} waits for its end. */
   public void drain() {
     if (state.enter(NodeState.Phase.DRAINING)) {
       EventLog.log(LogEvent.DAEMON_DRAINING, callerApi.requestsInProgress());
@@ -160,19 +175,19 @@
     }
   }
 
-  /** Blocks until a graceful stop has let the last request finish. */
+  /** Blocks until a graceful stop has finished the last request in progress. */
   public void awaitDrained() throws InterruptedException {
     drained.await();
   }
 
-  /** Closes all listeners and connections; does nothing the second time. */
+  /** Closes all listening sockets and connections; later calls do nothing. */
   public synchronized void stop() {
     if (!state.enter(NodeState.Phase.STOPPED)) {
       return;
     }
     callerApi.stop();
     operatorApi.stop();
-    poller.stop();
+    upstreamPoller.stop();
     ledger.stop();
     manifestService.stop();
     hostListPoller.stop();
@@ -184,23 +199,26 @@
     callExecutor.shutdownNow();
   }
 
-  /** Returns the port for callers. */
+  /** Returns the port of the caller API. */
   public int callerPort() {
     return callerApi.port();
   }
 
-  /** Returns the port for operators. */
+  /** Returns the port of the operator API. */
   public int operatorPort() {
     return operatorApi.port();
   }
 
-  /** Returns the state of the parts that decide; reads the router on its own thread. */
+  /**
+   * Returns the internal state of routing and peers for a dump. The router is read on the routing
+   * thread; its part is empty if that thread does not respond within 2 s.
+   */
   private Map<String, Object> dumpInternals(NodeRouter router) {
-    CompletableFuture<Map<String, Object>> decisions = new CompletableFuture<>();
+    CompletableFuture<Map<String, Object>> routingState = new CompletableFuture<>();
     routingLoop.schedule(
         Duration.ZERO,
         () ->
-            decisions.complete(
+            routingState.complete(
                 Map.of(
                     "incarnation", router.incarnation(),
                     "open_requests", router.openRequests(),
@@ -208,7 +226,7 @@
                     "admitted_engines",
                         router.admittedEngines().stream().map(UpstreamId::value).toList())));
     return Map.of(
-        "routing", decisions.completeOnTimeout(Map.of(), 2, TimeUnit.SECONDS).join(),
+        "routing", routingState.completeOnTimeout(Map.of(), 2, TimeUnit.SECONDS).join(),
         "peers", peers.service().dump(),
         "peer_counters", peers.service().counters());
   }
@@ -228,7 +246,7 @@
   }
 
   private void applyManifest(AppliedManifest applied) {
-    workspaceRates.updateBudgets();
+    workspaceRateLimiter.updateBudgets();
     upstreamHosts.apply(applied.manifest());
     post(new RoutingEvent.ManifestApplied(applied.revision(), applied.manifest()));
   }
@@ -239,7 +257,7 @@
   }
 
   private LedgerLimits ledgerLimits() {
-    LedgerPolicy policy = activeManifest.currentOrThrow().ledger();
+    LedgerPolicy policy = manifest.currentOrThrow().ledger();
     return LedgerLimits.of(policy.retention(), policy.writesPerSecond());
   }
 
@@ -247,15 +265,15 @@
     routing.post(event);
   }
 
-  /** Shares the rates of workspaces anew when the live nodes change. */
+  /** Recomputes this region's share of the workspace rates when the live nodes change. */
   private final class WorkspaceRateListener implements PeerServiceListener {
     @Override
     public void membersChanged(MemberList list) {
-      workspaceRates.updateBudgets();
+      workspaceRateLimiter.updateBudgets();
     }
   }
 
-  /** Passes messages about records to the ledger. */
+  /** Forwards ledger messages from peers to the ledger service. */
   private final class LedgerListener implements PeerServiceListener {
     @Override
     public void messageReceived(HostId from, long incarnation, PeerMessage message) {
@@ -265,7 +283,7 @@
     }
   }
 
-  /** Turns readiness on when the manifest in force is recent enough. */
+  /** Marks the node as ready once its active manifest is recent enough. */
   private final class ReadinessListener implements PeerServiceListener {
     @Override
     public void configurationReady(long revision) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/Main.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Main.java
@@ -20,7 +20,10 @@
 import org.mustardlatch.gateway.node.PlatformComponents;
 import org.mustardlatch.gateway.node.Signals;
 
-/** Entry point of the daemon. Exit codes: 0 stopped gracefully, 1 failure, 2 usage or settings. */
+/**
+ * Entry point of the daemon. Exit codes: 0 after a graceful stop, 1 after a failure, 2 for invalid
+ * arguments or settings.
+ */
 public final class Main {
   static final int EXIT_OK = 0;
   static final int EXIT_FAILURE = 1;
@@ -30,7 +33,7 @@
 
   private Main() {}
 
-  /** Runs a node until it has stopped gracefully. */
+  /** Runs a node until it has stopped, then exits the process. */
   public static void main(String[] args) {
     System.exit(run(args, System.out, System.err));
   }
@@ -94,9 +97,9 @@
     return EXIT_OK;
   }
 
-  private static int runOnPlatform(PlatformComponents ports) {
+  private static int runOnPlatform(PlatformComponents components) {
     long startNanos = System.nanoTime();
-    GatewayNode node = new GatewayNode(ports);
+    GatewayNode node = new GatewayNode(components);
     Signals.handle("TERM", node::drain);
     Signals.handle("INT", node::drain);
     Signals.handle("HUP", () -> EventLog.log(LogEvent.SETTINGS_CHANGED));
@@ -118,8 +121,8 @@
   }
 
   /**
-   * Stops gracefully on SIGTERM and SIGINT. The hook ends the process itself, because after a
-   * signal the exit code would not be 0 otherwise.
+   * Installs a shutdown hook that stops the node gracefully on SIGTERM and SIGINT. The hook halts
+   * the process itself, because the exit code after a signal would otherwise not be 0.
    */
   private static void stopOnSignal(Daemon daemon) {
     Thread hook =
--- a/daemon/src/main/java/org/mustardlatch/daemon/MainOptions.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/MainOptions.java
@@ -2,7 +2,7 @@
 
 import org.kohsuke.args4j.Option;
 
-/** Command line of the daemon. */
+/** Command-line options of the daemon. */
 final class MainOptions {
   @Option(name = "--config", metaVar = "FILE", usage = "settings of this node in TOML")
   private String config = "";
--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -26,26 +26,29 @@
 import org.mustardlatch.wire.PeerNodeOptions;
 import org.mustardlatch.wire.TlsFiles;
 
-/** Connects the peer service with the manifest in force and the routing decisions. */
+/**
+ * Connects the peer service to the active manifest and to routing: received manifests are
+ * activated, and membership changes and peer messages become routing events.
+ */
 final class PeerBinding implements Membership, PeerServiceListener {
   private final PeerService peers;
   private final ActiveManifest activeManifest;
   private final Consumer<RoutingEvent> routingEvents;
 
   /**
-   * Creates the peer service; it is not started.
+   * Creates the peer service without starting it.
    *
-   * @param incarnation incarnation of this process
-   * @param events takes members and messages for the routing decisions
+   * @param incarnation initial incarnation of this node
+   * @param routingEvents receives membership changes and peer messages as routing events
    */
   PeerBinding(
       Settings settings,
       long incarnation,
       TimerService timers,
-      ActiveManifest manifest,
-      Consumer<RoutingEvent> events) {
-    this.activeManifest = manifest;
-    this.routingEvents = events;
+      ActiveManifest activeManifest,
+      Consumer<RoutingEvent> routingEvents) {
+    this.activeManifest = activeManifest;
+    this.routingEvents = routingEvents;
     this.peers =
         new PeerService(
             peerNodeOptions(settings, incarnation),
@@ -82,10 +85,11 @@
   @Override
   public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage m -> routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case AdmissionMessage m ->
+          routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
       case EvidenceMessage m -> routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
-        // Other listeners take the messages about records; the peer service takes the rest itself.
+        // Ledger messages go to another listener; the peer service handles all others itself.
       }
     }
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/WorkspaceRateLimiter.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/WorkspaceRateLimiter.java
@@ -17,14 +17,15 @@
 import org.mustardlatch.daemon.peer.PeerService;
 
 /**
- * Shares the workspaces' rates of requests among the nodes by leases. A budget belongs to one
- * region; the region's part of a rate is its share of the live nodes.
+ * Enforces the request rates of workspaces across nodes, using budgets whose units are leased to
+ * the nodes. Each budget covers one region. The region receives a part of the workspace rate in
+ * proportion to its number of live nodes.
  */
 final class WorkspaceRateLimiter implements RequestRateLimiter {
-  /** Rates of this and more count as no limit. */
+  /** A rate of this value or more means that the workspace is not limited. */
   private static final double UNLIMITED_REQUESTS_PER_SECOND = 1_000_000;
 
-  // Leases are answered within 350 ms, see PeerService.spend.
+  // PeerService.spend reports its result within about 350 ms.
   private static final long GRANT_TIMEOUT_MILLIS = 1_000;
 
   private final PeerService peers;
@@ -33,22 +34,23 @@
   private final RegionId region;
   private volatile Set<String> limitedBudgets = Set.of();
 
-  WorkspaceRateLimiter(PeerService peers, Membership members, ActiveManifest manifest, RegionId region) {
+  WorkspaceRateLimiter(
+      PeerService peers, Membership membership, ActiveManifest activeManifest, RegionId region) {
     this.peers = peers;
-    this.membership = members;
-    this.activeManifest = manifest;
+    this.membership = membership;
+    this.activeManifest = activeManifest;
     this.region = region;
   }
 
-  /** Sets the terms anew; called when the manifest or the live nodes changed. */
+  /** Updates the budget terms. Call it after the manifest or the live nodes have changed. */
   void updateBudgets() {
-    activeManifest.current().ifPresent(applied -> configure(applied.manifest()));
+    activeManifest.current().ifPresent(applied -> applyRates(applied.manifest()));
   }
 
-  private void configure(Manifest applied) {
+  private void applyRates(Manifest manifest) {
     Map<String, BudgetTerms> terms = new HashMap<>();
     double share = regionShare();
-    for (Workspace w : applied.workspaces()) {
+    for (Workspace w : manifest.workspaces()) {
       if (w.requestsPerSecond() < UNLIMITED_REQUESTS_PER_SECOND) {
         terms.put(budgetName(w.id()), BudgetTerms.perSecond(w.requestsPerSecond() * share));
       }
@@ -59,8 +61,8 @@
 
   private double regionShare() {
     var live = membership.liveMembers();
-    long here = live.stream().map(Member::region).filter(region::equals).count();
-    return live.isEmpty() ? 1 : Math.max(1, here) / (double) live.size();
+    long liveInRegion = live.stream().map(Member::region).filter(region::equals).count();
+    return live.isEmpty() ? 1 : Math.max(1, liveInRegion) / (double) live.size();
   }
 
   @Override
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ActiveManifest.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ActiveManifest.java
@@ -10,15 +10,17 @@
 import org.mustardlatch.gateway.log.EventLog;
 import org.mustardlatch.gateway.log.LogEvent;
 
-/** The manifest in force on this node. Only a higher revision replaces it, as a whole. */
+/**
+ * Holds the active manifest of this node. It is replaced atomically and only by a higher revision.
+ */
 public final class ActiveManifest {
   private final BehaviorProcessor<AppliedManifest> changes = BehaviorProcessor.create();
 
   /**
-   * Puts a revision into force if it is higher than the current one.
+   * Activates a revision if it is higher than the active one.
    *
-   * @return whether it is in force now because of this call
-   * @throws MustardlatchException with {@link ErrorCode#MANIFEST_INVALID} when the text has errors
+   * @return whether this call activated the revision
+   * @throws MustardlatchException with {@link ErrorCode#MANIFEST_INVALID} if the text is invalid
    */
   public synchronized boolean apply(long revision, String text) {
     if (revision <= revision()) {
@@ -31,25 +33,25 @@
     return true;
   }
 
-  /** Returns the manifest in force, or empty before the first. */
+  /** Returns the active manifest, or empty if no revision was activated yet. */
   public Optional<AppliedManifest> current() {
     return Optional.ofNullable(changes.getValue());
   }
 
-  /** Returns the revision in force; 0 before the first. */
+  /** Returns the active revision; 0 if no revision was activated yet. */
   public long revision() {
     return current().map(AppliedManifest::revision).orElse(0L);
   }
 
-  /** Returns the manifest in force, then each that replaces it. */
+  /** Returns a stream of the active manifest, if any, followed by each later one. */
   public Flowable<AppliedManifest> changes() {
     return changes.onBackpressureBuffer();
   }
 
   /**
-   * Returns the manifest in force.
+   * Returns the active manifest.
    *
-   * @throws MustardlatchException with {@link ErrorCode#NOT_READY} before the first
+   * @throws MustardlatchException with {@link ErrorCode#NOT_READY} if no revision was activated yet
    */
   public Manifest currentOrThrow() {
     return current()
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/AppliedManifest.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/AppliedManifest.java
@@ -5,15 +5,15 @@
 import org.mustardlatch.core.manifest.Manifest;
 
 /**
- * A manifest in force.
+ * One applied revision of the manifest, with its source text and parsed content.
  *
- * @param revision its revision, at least 1
- * @param digest SHA-256 of the text, lower-case hexadecimal
+ * @param revision revision number, at least 1
+ * @param digest SHA-256 hash of {@code text}, in lower-case hexadecimal
  * @param text TOML text as published
- * @param manifest the parsed text
+ * @param manifest parsed content of {@code text}
  */
 public record AppliedManifest(long revision, String digest, String text, Manifest manifest) {
-  /** Creates a value with the digest of the text. */
+  /** Creates an applied manifest and computes the digest of its text. */
   public static AppliedManifest of(long revision, String text, Manifest manifest) {
     String digest = Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
     return new AppliedManifest(revision, digest, text, manifest);
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
@@ -12,13 +12,13 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * The timer service of the daemon. All tasks run on one thread, in the order in which they become
- * due, so that state that only tasks touch needs no locks.
+ * Timer service and executor of the daemon. All tasks run on a single thread, in the order of their
+ * scheduled times, so state that is accessed only by tasks needs no locks.
  */
 public final class EventLoop implements TimerService, Executor {
   private final ScheduledThreadPoolExecutor executor;
 
-  /** Creates the loop and its thread. */
+  /** Creates the loop; its daemon thread has the given name. */
   public EventLoop(String name) {
     executor =
         new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().name(name).factory());
@@ -30,13 +30,13 @@
     return System.nanoTime();
   }
 
-  /** Runs a task on the loop's thread as soon as possible; does nothing after {@link #stop}. */
+  /** Runs a task on the loop thread as soon as possible; does nothing after {@link #stop}. */
   @Override
   public void execute(Runnable task) {
     try {
       executor.execute(loggingExceptions(task));
     } catch (RejectedExecutionException e) {
-      // The loop has stopped; what is left concerns requests whose connections are closed.
+      // The loop has stopped. Remaining tasks belong to requests whose connections are closed.
     }
   }
 
@@ -44,7 +44,8 @@
   public TimerSubscription schedule(Duration delay, Runnable task) {
     try {
       ScheduledFuture<?> future =
-          executor.schedule(loggingExceptions(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+          executor.schedule(
+              loggingExceptions(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
       return () -> future.cancel(false);
     } catch (RejectedExecutionException e) {
       return () -> {};
@@ -59,12 +60,15 @@
     return () -> future.cancel(false);
   }
 
-  /** Ends the thread; tasks that wait are dropped. */
+  /** Interrupts the loop thread and discards tasks that have not started. */
   public void stop() {
     executor.shutdownNow();
   }
 
-  /** An exception must not end a repeated task, so it is logged here. */
+  /**
+   * Wraps a task so that its runtime exceptions are logged. An exception that left the task would
+   * cancel all later runs of a repeating task.
+   */
   private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HostListPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HostListPoller.java
@@ -15,36 +15,38 @@
 import org.mustardlatch.daemon.store.ReadResult;
 
 /**
- * Reads the platform's host list (object {@code hosts/current}) and reports upstreams on hosts that
- * leave. Only the nodes that watch the manifest read it, so that its cost does not grow with the
- * fleet; the routing decisions spread what they see.
+ * Polls the platform's host list (object {@code hosts/current}) and reports upstreams on leaving
+ * (draining) hosts. Only the nodes that watch the manifest poll the list, so that the load on the
+ * object service does not grow with the fleet; those nodes propagate what they read to the other
+ * nodes through the routing logic.
  *
- * <p>The object's {@code spec.hosts} is an array of {@code address} (IP number, or IP number and
- * port) and {@code state} ({@code live} or {@code leaving}). Other entries are ignored.
+ * <p>The object's {@code spec.hosts} is an array of entries with an {@code address} (IP address, or
+ * IP address and port) and a {@code state} ({@code live} or {@code leaving}). Entries in any other
+ * form are ignored.
  */
 public final class HostListPoller implements PeerServiceListener {
   private static final Duration READ_PERIOD = Duration.ofSeconds(2);
 
   private final ObjectStoreClient store;
-  private final ActiveManifest manifest;
+  private final ActiveManifest activeManifest;
   private final TimerService timers;
   private final Consumer<UpstreamId> leavingListener;
   private TimerSubscription subscription = () -> {};
 
   /**
-   * Creates a service that reads nothing before this node is told to watch.
+   * Creates a poller that is idle until this node is selected to watch the manifest.
    *
-   * @param leaving called for each upstream on a leaving host, again at every reading
+   * @param leavingListener called for each upstream on a leaving host, on every read
    */
   public HostListPoller(
       ObjectStoreClient store,
-      ActiveManifest manifest,
+      ActiveManifest activeManifest,
       TimerService timers,
-      Consumer<UpstreamId> leaving) {
+      Consumer<UpstreamId> leavingListener) {
     this.store = store;
-    this.manifest = manifest;
+    this.activeManifest = activeManifest;
     this.timers = timers;
-    this.leavingListener = leaving;
+    this.leavingListener = leavingListener;
   }
 
   @Override
@@ -53,7 +55,7 @@
     subscription = watch ? timers.scheduleRepeating(READ_PERIOD, this::read) : () -> {};
   }
 
-  /** Stops reading. */
+  /** Stops polling. */
   public synchronized void stop() {
     subscription.cancel();
   }
@@ -64,14 +66,15 @@
             .get("hosts", "current")
             .thenAccept(
                 result -> {
-                  // While the object service is down the list stays as it was.
+                  // On a failed read the state of the upstreams stays unchanged until the next
+                  // period.
                   if (result instanceof ReadResult.Found found) {
-                    report(found.object().spec().path("hosts"));
+                    reportLeavingHosts(found.object().spec().path("hosts"));
                   }
                 });
   }
 
-  private void report(JsonNode hosts) {
+  private void reportLeavingHosts(JsonNode hosts) {
     Set<String> addresses = new HashSet<>();
     for (JsonNode host : hosts) {
       if (host.path("state").asText().equals("leaving")) {
@@ -81,10 +84,10 @@
     if (addresses.isEmpty()) {
       return;
     }
-    manifest.current().ifPresent(applied -> report(addresses, applied));
+    activeManifest.current().ifPresent(applied -> reportUpstreams(addresses, applied));
   }
 
-  private void report(Set<String> addresses, AppliedManifest applied) {
+  private void reportUpstreams(Set<String> addresses, AppliedManifest applied) {
     for (Upstream u : applied.manifest().upstreams()) {
       URI url = u.url();
       if (addresses.contains(url.getHost()) || addresses.contains(url.getAuthority())) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
@@ -14,15 +14,17 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.settings.SocketAddress;
 
-/** An HTTP server with a virtual thread for each request. */
+/** HTTP server that runs each request on its own virtual thread. */
 public final class HttpServer {
   private static final int MAX_HEADER_BYTES = 16 << 10;
 
-  /** Longer than the longest pause between tokens that a request may have. */
+  /** Must exceed the longest permitted pause between two tokens of a request. */
   private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(5);
 
-  // The default of 50 is full after a pause of some milliseconds. The kernel then answers with SYN
-  // cookies and resets a connection whose second segment arrives before it was accepted.
+  // The default of 50 overflows when the process pauses for a few milliseconds. The kernel then
+  // falls
+  // back to SYN cookies and resets a connection whose second segment arrives before the connection
+  // has been accepted.
   private static final int ACCEPT_QUEUE_SIZE = 1024;
 
   private final SocketAddress address;
@@ -31,9 +33,9 @@
   private @Nullable ServerConnector connector;
 
   /**
-   * Creates a server; it does not listen yet.
+   * Creates a server that does not listen yet.
    *
-   * @param routes adds the handlers
+   * @param routes registers the request handlers
    */
   public HttpServer(SocketAddress address, Consumer<RoutesConfig> routes) {
     this.address = address;
@@ -53,7 +55,7 @@
     }
   }
 
-  /** Returns the port that it listens on; 0 before the start. */
+  /** Returns the port on which the server listens; 0 before {@link #start}. */
   public synchronized int port() {
     return connector == null ? 0 : connector.getLocalPort();
   }
@@ -64,11 +66,11 @@
     config.startup.startupWatcherEnabled = false;
     config.http.compressionStrategy = CompressionStrategy.NONE;
     config.jetty.modifyServer(server -> server.setErrorHandler(new JettyErrorHandler()));
-    config.jetty.addConnector(this::connector);
+    config.jetty.addConnector(this::createConnector);
     routes.accept(config.routes);
   }
 
-  private Connector connector(Server server, HttpConfiguration http) {
+  private Connector createConnector(Server server, HttpConfiguration http) {
     http.setRequestHeaderSize(MAX_HEADER_BYTES);
     http.setSendServerVersion(false);
     ServerConnector created = new ServerConnector(server, new HttpConnectionFactory(http));
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/JettyErrorHandler.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/JettyErrorHandler.java
@@ -8,7 +8,10 @@
 import org.eclipse.jetty.util.Callback;
 import org.mustardlatch.core.error.ErrorCode;
 
-/** Answers faults that Jetty finds before a handler runs, in the form of all other errors. */
+/**
+ * Writes the response for errors that Jetty detects before a request handler runs, in the same JSON
+ * form as all other errors.
+ */
 final class JettyErrorHandler extends ErrorHandler {
   private static final int HEADERS_TOO_LARGE = 431;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestPublisher.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestPublisher.java
@@ -3,15 +3,16 @@
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.error.MustardlatchException;
 
-/** Publishes manifests for operators. */
+/** Publishes manifests on behalf of operators. */
 @FunctionalInterface
 public interface ManifestPublisher {
   /**
-   * Publishes a manifest on top of a base revision.
+   * Publishes a manifest if the latest revision is {@code base}. Blocks until the outcome is known
+   * or a timeout expires.
    *
-   * @param text TOML text
-   * @param base the revision that it replaces; 0 for the first
-   * @return the new revision, accepted
+   * @param text manifest in TOML
+   * @param base revision that the manifest replaces; 0 for the first manifest
+   * @return the new revision, which enough nodes have applied
    * @throws MustardlatchException with {@link ErrorCode#MANIFEST_INVALID}, {@link
    *     ErrorCode#MANIFEST_CONFLICT}, {@link ErrorCode#STORE_UNAVAILABLE} or {@link
    *     ErrorCode#MANIFEST_UNKNOWN}
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
@@ -23,16 +23,17 @@
 import org.mustardlatch.daemon.store.PublishResult;
 
 /**
- * Brings manifests from the object service to the peer service, which puts them into force here and
- * on the other nodes, and publishes new ones. The object service is read at the start until it
- * answers; while it is down the manifest in force stays.
+ * Forwards manifests from the object service to the peer service, which applies them on this node
+ * and distributes them to the other nodes, and publishes new manifests. At startup the object
+ * service is read until a read succeeds. While the object service is unavailable, the active
+ * manifest stays active.
  */
 public final class ManifestService implements ManifestPublisher, PeerServiceListener {
   private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(1);
   private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration PUBLISH_TIMEOUT = RESOLVE_TIMEOUT.plusSeconds(5);
 
-  /** Twice the bound of 4 s within which a manifest must be in force everywhere. */
+  /** Twice the limit of 4 s within which a manifest must be active on all nodes. */
   private static final Duration ACCEPT_TIMEOUT = Duration.ofSeconds(8);
 
   private final ManifestStore store;
@@ -42,7 +43,7 @@
   private boolean stopped;
   private @Nullable TimerSubscription watch;
 
-  /** Creates a service that is not started. */
+  /** Creates a service that is not started, and registers it as a listener of the peer service. */
   public ManifestService(ManifestStore store, PeerService peers, TimerService timers) {
     this.store = store;
     this.peers = peers;
@@ -50,7 +51,7 @@
     peers.addListener(this);
   }
 
-  /** Reads the manifest now and again until the object service has answered once. */
+  /** Reads the manifest from the object service and retries until one read has succeeded. */
   public synchronized void start() {
     if (stopped) {
       return;
@@ -65,16 +66,16 @@
   }
 
   @Override
-  public synchronized void watchManifest(boolean on) {
-    if (on && watch == null && !stopped) {
+  public synchronized void watchManifest(boolean enabled) {
+    if (enabled && watch == null && !stopped) {
       watch = store.watch(this::reportStored);
-    } else if (!on && watch != null) {
+    } else if (!enabled && watch != null) {
       watch.cancel();
       watch = null;
     }
   }
 
-  /** Ends the watch. */
+  /** Cancels the watch and stops retrying reads. */
   public synchronized void stop() {
     stopped = true;
     watchManifest(false);
@@ -87,7 +88,7 @@
 
   @Override
   public long publish(String text, long base) {
-    Manifest offered = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
+    Manifest submitted = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
     PublishResult result = await(store.publish(base, text, RESOLVE_TIMEOUT), base);
     return switch (result) {
       case PublishResult.Published p -> distribute(p.revision(), text);
@@ -96,7 +97,8 @@
         throw new MustardlatchException(
             ErrorCode.MANIFEST_CONFLICT,
             "revision %d is the latest, not %d; %s"
-                .formatted(c.latest().revision(), base, describeDifference(c.latest().text(), offered)));
+                .formatted(
+                    c.latest().revision(), base, describeDifference(c.latest().text(), submitted)));
       }
       case PublishResult.Refused r ->
           throw new MustardlatchException(
@@ -117,13 +119,13 @@
     peers.manifestStored(revision.revision(), revision.text());
   }
 
-  private static String describeDifference(String latest, Manifest offered) {
-    ParseResult<Manifest> result = ManifestParser.parse("latest", latest);
+  private static String describeDifference(String latestText, Manifest submitted) {
+    ParseResult<Manifest> result = ManifestParser.parse("latest", latestText);
     if (!result.isValid()) {
       return "it can't be read";
     }
-    Manifest before = result.orThrow(ErrorCode.MANIFEST_INVALID);
-    List<ManifestDiff.Change> changes = ManifestDiff.compare(before, offered).changes();
+    Manifest latest = result.orThrow(ErrorCode.MANIFEST_INVALID);
+    List<ManifestDiff.Change> changes = ManifestDiff.compare(latest, submitted).changes();
     if (changes.isEmpty()) {
       return "it already has the content of the offered manifest";
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/Membership.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/Membership.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import org.mustardlatch.core.routing.Member;
 
-/** The live nodes as this node sees them. */
+/** Membership of the fleet as observed by this node. */
 public interface Membership {
-  /** Returns the live nodes, this one included. */
+  /** Returns the live nodes, including this node. */
   List<Member> liveMembers();
 
-  /** Returns the incarnation of this node. */
+  /** Returns the current incarnation of this node. */
   long incarnation();
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
@@ -16,9 +16,10 @@
 import org.mustardlatch.daemon.store.WriteResult;
 
 /**
- * Makes this node findable through the object service (kind {@code nodes}) and finds others there,
- * so that a node joins also when no seed answers. Without the object service it joins by seeds. The
- * list is read again only while this node knows no other, which keeps the reads at one a start.
+ * Registers this node in the object service (kind {@code nodes}) and discovers other nodes there,
+ * so that a node can join even if no seed responds. If the object service is unavailable, the node
+ * joins through its seeds. The list is read again only while this node has no other live member,
+ * which normally limits the reads to one per start.
  */
 public final class NodeRegistration {
   private static final String KIND = "nodes";
@@ -35,25 +36,25 @@
   /**
    * Creates a registration that is not started.
    *
-   * @param members returns the number of live nodes, this one included
+   * @param liveMemberCount returns the number of live nodes, including this node
    */
   public NodeRegistration(
       HostId host,
       ObjectStoreClient store,
       PeerService peers,
       TimerService timers,
-      IntSupplier members) {
+      IntSupplier liveMemberCount) {
     this.host = host;
     this.store = store;
     this.peers = peers;
     this.timers = timers;
-    this.liveMemberCount = members;
+    this.liveMemberCount = liveMemberCount;
   }
 
   /**
-   * Registers and looks for other nodes until both have succeeded.
+   * Registers this node and looks for other nodes, and repeats both until they have succeeded.
    *
-   * @param address where other nodes reach this one
+   * @param address peer address at which other nodes can reach this node
    */
   public synchronized void start(InetSocketAddress address) {
     String text = address.getAddress().getHostAddress() + ":" + address.getPort();
@@ -61,7 +62,7 @@
     subscription = timers.scheduleRepeating(RETRY_PERIOD, () -> registerAndDiscover(text));
   }
 
-  /** Ends the tries. */
+  /** Stops the periodic attempts. */
   public synchronized void stop() {
     subscription.cancel();
   }
@@ -71,7 +72,8 @@
       register(address);
     }
     if (liveMemberCount.getAsInt() < 2) {
-      var unused = store.list(KIND, reason -> {}).thenAccept(found -> reportListedNodes(found, address));
+      var unused =
+          store.list(KIND, reason -> {}).thenAccept(found -> reportListedNodes(found, address));
     }
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeState.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeState.java
@@ -1,6 +1,6 @@
 package org.mustardlatch.daemon.node;
 
-/** How far the process is between start and exit. */
+/** Lifecycle state of the node process. It only moves forward through the phases. */
 public final class NodeState {
   private volatile Phase phase = Phase.STARTING;
 
@@ -9,7 +9,11 @@
     return phase;
   }
 
-  /** Enters a phase; going back is ignored. Returns whether the phase changed. */
+  /**
+   * Enters a phase. A phase that is not later than the current one is ignored.
+   *
+   * @return whether the phase changed
+   */
   public synchronized boolean enter(Phase next) {
     if (next.compareTo(phase) <= 0) {
       return false;
@@ -18,15 +22,15 @@
     return true;
   }
 
-  /** Phases in order. */
+  /** Lifecycle phases in the order in which they are entered. */
   public enum Phase {
-    /** No manifest is in force yet. */
+    /** The node has no sufficiently recent manifest yet. */
     STARTING,
-    /** Takes requests. */
+    /** The node accepts requests. */
     READY,
-    /** Readiness is off, but requests are still taken until the load balancer has noticed. */
+    /** The readiness check fails, but requests are accepted until the load balancer has reacted. */
     DRAINING,
-    /** New requests are refused; requests in progress finish. */
+    /** New requests are refused; requests in progress run to completion. */
     REFUSING,
     /** The process is about to exit. */
     STOPPED
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/RevisionLatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/RevisionLatch.java
@@ -2,25 +2,30 @@
 
 import java.time.Duration;
 
-/** Waits until a revision or a later one is reached. */
+/** Lets threads wait until a given revision, or a higher one, has been reached. */
 final class RevisionLatch {
   private long highestRevision;
 
+  /** Records that a revision has been reached and wakes the waiting threads. */
   synchronized void advanceTo(long revision) {
     highestRevision = Math.max(highestRevision, revision);
     notifyAll();
   }
 
-  /** Returns whether the revision was reached within the bound. */
-  synchronized boolean await(long revision, Duration bound) {
-    long endNanos = System.nanoTime() + bound.toNanos();
+  /**
+   * Waits for a revision.
+   *
+   * @return false if the timeout expired or the thread was interrupted first
+   */
+  synchronized boolean await(long revision, Duration timeout) {
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     try {
       while (highestRevision < revision) {
-        long leftMillis = (endNanos - System.nanoTime()) / 1_000_000;
-        if (leftMillis <= 0) {
+        long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (remainingMillis <= 0) {
           return false;
         }
-        wait(leftMillis);
+        wait(remainingMillis);
       }
       return true;
     } catch (InterruptedException e) {
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/package-info.java
@@ -1,4 +1,7 @@
-/** The node as a whole: manifest in force, timers, state of the process. */
+/**
+ * Services of the node as a whole: active manifest, event loop, HTTP server, registration and
+ * lifecycle state.
+ */
 @NullMarked
 package org.mustardlatch.daemon.node;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: services with start and stop around the decision logic of the core module. */
+/** Daemon process: long-running services around the decision logic of the core module. */
 @NullMarked
 package org.mustardlatch.daemon;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestApplier.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestApplier.java
@@ -1,12 +1,14 @@
 package org.mustardlatch.daemon.peer;
 
-/** Decides whether a manifest that arrived can be used on this node, and puts it into force. */
+/**
+ * Validates a manifest received from a peer or the object service and activates it on this node.
+ */
 @FunctionalInterface
 public interface ManifestApplier {
   /**
-   * Puts a revision into force as a whole, before it returns. Must not block.
+   * Activates a revision atomically before returning. Must not block.
    *
-   * @return false when the text can't be used; the node then keeps the revision that it has
+   * @return false if the text is invalid; the active revision then stays active
    */
   boolean apply(long revision, String text);
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
@@ -23,8 +23,8 @@
 import org.mustardlatch.wire.PeerNodeOptions;
 
 /**
- * The service through which this node acts together with its peers: membership, spread of the
- * manifest, and messages between nodes. Add listeners before {@link #start}.
+ * Communication of this node with its peers: membership, distribution of the manifest, shared
+ * budgets, and messages between nodes. Add listeners before calling {@link #start}.
  */
 public final class PeerService {
   private final PeerNodeOptions options;
@@ -33,29 +33,32 @@
   private final List<PeerServiceListener> listeners = new CopyOnWriteArrayList<>();
 
   /**
-   * Creates the service; it does nothing before {@link #start}.
+   * Creates the service, which is idle until {@link #start} is called.
    *
-   * @param timers gives the time and runs the periodic tasks
-   * @param random chooses seeds and partners of exchanges
-   * @param gate puts manifests into force
+   * @param timers clock and scheduler of the periodic tasks
+   * @param random source for choosing seeds and gossip partners
+   * @param manifestApplier validates and activates manifests
    */
   public PeerService(
-      PeerNodeOptions options, TimerService timers, RandomGenerator random, ManifestApplier gate) {
+      PeerNodeOptions options,
+      TimerService timers,
+      RandomGenerator random,
+      ManifestApplier manifestApplier) {
     this.options = options;
-    this.manifestApplier = gate;
+    this.manifestApplier = manifestApplier;
     this.node = new PeerNode(options, timers, random, new PeerNodeEvents());
   }
 
-  /** Adds a listener. */
+  /** Adds a listener that is notified of all later events. */
   public void addListener(PeerServiceListener listener) {
     listeners.add(listener);
   }
 
   /**
-   * Starts to listen and to join.
+   * Starts listening for peers and joining the fleet.
    *
-   * @return the address in use
-   * @throws org.mustardlatch.core.error.MustardlatchException when the address can't be bound
+   * @return the address that was bound
+   * @throws org.mustardlatch.core.error.MustardlatchException if the address can't be bound
    */
   public InetSocketAddress start() {
     if (options.tls() == null) {
@@ -66,51 +69,52 @@
     return bound;
   }
 
-  /** Announces that this node is about to stop; call it when the last stream has finished. */
+  /** Announces that this node is about to stop. Call it after the last stream has finished. */
   public void leave() {
     node.leave();
   }
 
-  /** Closes all connections. */
+  /** Stops listening and closes all connections. */
   public void stop() {
     node.stop();
   }
 
-  /** Sends a message; one to this node itself is delivered to its own listeners. */
+  /** Sends a message to a node. A message to this node is delivered to its own listeners. */
   public void send(HostId to, PeerMessage message) {
     node.send(to, message);
   }
 
-  /** Spreads evidence to all other nodes. */
+  /** Sends crash evidence to all other nodes. */
   public void broadcast(EvidenceMessage message) {
     node.broadcast(message);
   }
 
-  /** Reports the peer addresses that the object service lists. */
+  /** Passes in the peer addresses listed in the object service. */
   public void nodesListed(List<String> addresses) {
     node.nodesListed(addresses);
   }
 
   /**
-   * Reports the manifest that was read from the object service, at the start or by a watch.
+   * Passes in a manifest that was read from the object service, at startup or through a watch.
    *
-   * @param revision 0 with empty text when the object service holds none
+   * @param revision revision number; 0, with an empty text, if the object service has no manifest
    */
   public void manifestStored(long revision, String text) {
     node.manifestStored(revision, text);
   }
 
   /**
-   * Reports that this node stored a revision for an operator; {@link
-   * PeerServiceListener#manifestAccepted} follows once it can't be lost.
+   * Passes in a manifest that this node has stored in the object service for an operator. {@link
+   * PeerServiceListener#manifestAccepted} is called once enough nodes have applied the revision
+   * that it can't be lost.
    */
   public void manifestPublished(long revision, String text) {
     node.manifestPublished(revision, text);
   }
 
   /**
-   * Sets the terms of the shared budgets of this region, by name, for example {@code
-   * workspace/NAME}. Every node of the region must be given the same terms.
+   * Sets the terms of the shared budgets of this region. The keys are budget names such as {@code
+   * workspace/NAME}. All nodes of the region must use the same terms.
    */
   public void configureBudgets(Map<String, BudgetTerms> terms) {
     node.configureBudgets(terms);
@@ -119,8 +123,8 @@
   /**
    * Spends units of a shared budget.
    *
-   * @param units units to take, greater than 0
-   * @param result called once, within about 350 ms, with whether the units were granted; must not
+   * @param units number of units, greater than 0
+   * @param result called once, within about 350 ms, with true if the units were granted; must not
    *     block
    */
   public void spend(String budget, double units, Consumer<Boolean> result) {
@@ -132,27 +136,27 @@
     return node.incarnation();
   }
 
-  /** Returns the live nodes. */
+  /** Returns the current member list. */
   public MemberList members() {
     return node.members();
   }
 
-  /** Returns the manifest revision in force; 0 for none. */
+  /** Returns the active manifest revision; 0 if there is none. */
   public long activeRevision() {
     return node.activeRevision();
   }
 
-  /** Returns whether the manifest in force is recent enough to serve requests. */
+  /** Returns whether the active manifest is recent enough to serve requests. */
   public boolean configurationReady() {
     return node.configurationReady();
   }
 
-  /** Returns counts since the start by name. */
+  /** Returns the transport counters, counted since the start, by name. */
   public Map<String, Long> counters() {
     return node.counters().snapshot();
   }
 
-  /** Returns the state for a dump. Must not be called by a listener. */
+  /** Returns the internal state for a diagnostic dump. Must not be called from a listener. */
   public Map<String, Object> dump() {
     return new LinkedHashMap<>(node.dump());
   }
@@ -167,22 +171,22 @@
     }
   }
 
-  /** Logs events and passes them on. */
+  /** Logs the events of the peer node and forwards them to the listeners. */
   private final class PeerNodeEvents implements PeerNodeListener {
     private Set<HostId> knownHosts = new HashSet<>();
     private Set<RegionId> unreachableRegions = Set.of();
 
     @Override
     public void membersChanged(MemberList list) {
-      Set<HostId> now = new HashSet<>();
-      list.members().forEach(m -> now.add(m.host()));
-      Set<HostId> joined = new HashSet<>(now);
+      Set<HostId> currentHosts = new HashSet<>();
+      list.members().forEach(m -> currentHosts.add(m.host()));
+      Set<HostId> joined = new HashSet<>(currentHosts);
       joined.removeAll(knownHosts);
-      knownHosts.removeAll(now);
+      knownHosts.removeAll(currentHosts);
       knownHosts.remove(options.host());
-      joined.forEach(h -> EventLog.log(LogEvent.NODE_JOINED, h, now.size()));
-      knownHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, now.size()));
-      knownHosts = now;
+      joined.forEach(h -> EventLog.log(LogEvent.NODE_JOINED, h, currentHosts.size()));
+      knownHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, currentHosts.size()));
+      knownHosts = currentHosts;
       for (RegionId r : list.unreachableRegions()) {
         if (!unreachableRegions.contains(r)) {
           EventLog.log(LogEvent.REGION_UNREACHABLE, r);
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
@@ -5,36 +5,43 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /**
- * Receives what the service finds; each method does nothing unless overridden. Calls are made one
- * after another, on a network or timer thread, and must not block.
+ * Listener for the events of {@link PeerService}. All methods do nothing by default. Calls are
+ * serialized on a network or timer thread and must not block.
  */
 public interface PeerServiceListener {
-  /** The live nodes changed. Called once at the start, with this node alone. */
+  /** Called when the live nodes change, and once at startup with only this node in the list. */
   default void membersChanged(MemberList list) {}
 
   /**
-   * This node may have been declared dead. It must stop dispatching, cancel its own attempts of
-   * earlier incarnations, and only then accept new work.
+   * Called when the other nodes may have declared this node dead. The node must stop dispatching,
+   * cancel its own attempts of earlier incarnations, and only then accept new work.
    *
-   * @param incarnation the incarnation from now on
+   * @param incarnation new incarnation of this node
    */
   default void fenced(long incarnation) {}
 
-  /** A manifest revision was put into force on this node. */
+  /** Called after a manifest revision was activated on this node. */
   default void manifestApplied(long revision, String text) {}
 
-  /** A revision that this node published is in force on enough nodes that it can't be lost. */
+  /**
+   * Called when a revision published by this node is active on enough nodes that it can't be lost.
+   */
   default void manifestAccepted(long revision) {}
 
   /**
-   * Whether this node must watch the manifest in the object service changed. While it must, it
-   * reports what it reads with {@link PeerService#manifestStored}.
+   * Called when this node must start or stop watching the manifest in the object service. While
+   * watching, it passes each manifest that it reads to {@link PeerService#manifestStored}.
    */
   default void watchManifest(boolean watch) {}
 
-  /** The node has a manifest that is recent enough to serve requests. Called once. */
+  /** Called once, when the node first has a manifest that is recent enough to serve requests. */
   default void configurationReady(long revision) {}
 
-  /** An admission, evidence or ledger message arrived. */
+  /**
+   * Called when an admission, evidence or ledger message arrives.
+   *
+   * @param from sending node
+   * @param incarnation incarnation of the sending node
+   */
   default void messageReceived(HostId from, long incarnation, PeerMessage message) {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/package-info.java
@@ -1,4 +1,4 @@
-/** How this node acts together with its peers: the service around {@code PeerNode}. */
+/** Communication of this node with its peers, based on {@code PeerNode}. */
 @NullMarked
 package org.mustardlatch.daemon.peer;
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestObject.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestObject.java
@@ -7,11 +7,12 @@
 import java.util.List;
 
 /**
- * Content of the object {@code manifests/current}.
+ * Parsed content of the object {@code manifests/current}.
  *
- * @param current the manifest in it
- * @param publisherNonces nonces of the last publications, the latest first; a publisher whose answer was
- *     lost finds its own nonce here even after another publication
+ * @param current the latest published manifest
+ * @param publisherNonces nonces of the last publications, latest first, at most {@link
+ *     #MAX_PUBLISHER_NONCES}; a publisher whose response was lost finds its own nonce here even
+ *     after later publications
  */
 record ManifestObject(ManifestRevision current, List<String> publisherNonces) {
   private static final int MAX_PUBLISHER_NONCES = 16;
@@ -23,17 +24,18 @@
   }
 
   static ManifestObject parse(JsonNode spec) {
-    List<String> writers = new ArrayList<>();
-    spec.path("writers").forEach(w -> writers.add(w.asText()));
+    List<String> nonces = new ArrayList<>();
+    spec.path("writers").forEach(n -> nonces.add(n.asText()));
     return new ManifestObject(
-        new ManifestRevision(spec.path("revision").asLong(), spec.path("text").asText("")),
-        writers);
+        new ManifestRevision(spec.path("revision").asLong(), spec.path("text").asText("")), nonces);
   }
 
+  /** Returns the content that publishes a text as the next revision. */
   ManifestObject nextRevision(String text, String nonce) {
-    List<String> kept = new ArrayList<>(List.of(nonce));
-    kept.addAll(publisherNonces.subList(0, Math.min(publisherNonces.size(), MAX_PUBLISHER_NONCES - 1)));
-    return new ManifestObject(new ManifestRevision(current.revision() + 1, text), kept);
+    List<String> nonces = new ArrayList<>(List.of(nonce));
+    nonces.addAll(
+        publisherNonces.subList(0, Math.min(publisherNonces.size(), MAX_PUBLISHER_NONCES - 1)));
+    return new ManifestObject(new ManifestRevision(current.revision() + 1, text), nonces);
   }
 
   ObjectNode toSpec() {
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestRevision.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestRevision.java
@@ -1,12 +1,12 @@
 package org.mustardlatch.daemon.store;
 
 /**
- * A published manifest.
+ * Revision number and text of a published manifest.
  *
- * @param revision grows by one with every publication; 0 means that nothing was published yet
- * @param text text in TOML; empty for revision 0
+ * @param revision revision number, incremented by every publication; 0 if nothing was published yet
+ * @param text manifest in TOML; empty for revision 0
  */
 public record ManifestRevision(long revision, String text) {
-  /** Nothing was published yet. */
+  /** Placeholder for the state before the first publication. */
   public static final ManifestRevision NONE = new ManifestRevision(0, "");
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
@@ -9,7 +9,9 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** The object {@code manifests/current}, which holds the latest published manifest. */
+/**
+ * Reads, watches and updates the latest manifest, stored in the object {@code manifests/current}.
+ */
 public final class ManifestStore {
   private static final String KIND = "manifests";
   private static final String NAME = "current";
@@ -19,11 +21,12 @@
   private final RandomGenerator random;
 
   /**
-   * Creates a view of the manifest object.
+   * Creates a store on top of the object service.
    *
    * @param store client of the object service
-   * @param timers for the pauses between attempts to settle a lost answer
-   * @param random names publications; must not repeat between processes, so use a secure one
+   * @param timers clock and scheduler of the retries of a publication
+   * @param random source of the nonces that identify publications; use a secure generator, since
+   *     nonces must be unique across processes
    */
   public ManifestStore(ObjectStoreClient store, TimerService timers, RandomGenerator random) {
     this.store = store;
@@ -32,8 +35,8 @@
   }
 
   /**
-   * Reads the latest manifest. The result is empty when the object service can't be read, and
-   * revision 0 when nothing was published yet.
+   * Reads the latest manifest. The result is empty if the object service can't be read, and {@link
+   * ManifestRevision#NONE} if nothing was published yet.
    */
   public CompletableFuture<Optional<ManifestRevision>> read() {
     return store
@@ -49,7 +52,9 @@
   }
 
   /**
-   * Watches the latest manifest until the subscription is cancelled; the listener must not block.
+   * Watches the latest manifest until the subscription is cancelled.
+   *
+   * @param listener called with the current manifest and after each change; must not block
    */
   public TimerSubscription watch(Consumer<ManifestRevision> listener) {
     return store.watch(
@@ -57,23 +62,24 @@
   }
 
   /**
-   * Publishes a manifest as revision {@code base + 1} if {@code base} is the latest one. An update
-   * whose answer is lost is read back and written again on the version just read, for at most the
-   * given time.
+   * Publishes a manifest as revision {@code base + 1} if {@code base} is the latest revision. After
+   * an update whose response was lost, the object is read back and, if necessary, written again on
+   * the version just read, until the outcome is known or the time limit has passed.
    *
-   * @param base the revision that the operator's change was made from; 0 for the first one
-   * @param text the checked text
-   * @param settleTime how long a lost answer may take to settle, greater than zero
+   * @param base revision from which the operator's change was made; 0 for the first manifest
+   * @param text validated manifest in TOML
+   * @param resolveTimeout time limit for retries after a lost response or a conflicting update,
+   *     greater than zero
    */
-  public CompletableFuture<PublishResult> publish(long base, String text, Duration settleTime) {
+  public CompletableFuture<PublishResult> publish(long base, String text, Duration resolveTimeout) {
     if (base < 0) {
       throw new IllegalArgumentException("base revision must not be negative, got " + base);
     }
     byte[] nonce = new byte[16];
     random.nextBytes(nonce);
-    long giveUpNanos = timers.nanos() + settleTime.toNanos();
+    long deadlineNanos = timers.nanos() + resolveTimeout.toNanos();
     Publication publication =
-        new Publication(store, timers, base, text, HexFormat.of().formatHex(nonce), giveUpNanos);
+        new Publication(store, timers, base, text, HexFormat.of().formatHex(nonce), deadlineNanos);
     return publication.run();
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
@@ -22,8 +22,8 @@
 import org.mustardlatch.core.time.TimerSubscription;
 
 /**
- * Client of the object service. No method blocks. Futures complete on a thread of the HTTP client
- * and never exceptionally: every failure is a result.
+ * Asynchronous client of the object service. No method blocks. Futures complete on a thread of the
+ * HTTP client and never exceptionally; failures are reported as result values.
  */
 public final class ObjectStoreClient implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
@@ -36,12 +36,12 @@
   private final OkHttpClient watchHttp;
 
   /**
-   * Creates a client; connections are made on demand.
+   * Creates a client; connections are opened on demand.
    *
    * @param url base URL of the object service, {@code http} or {@code https}
    * @param timeouts time limits of calls
-   * @param timers for opening failed watches again
-   * @throws IllegalArgumentException when the URL is not usable
+   * @param timers scheduler for reopening failed watches
+   * @throws IllegalArgumentException if the URL is not an HTTP URL
    */
   public ObjectStoreClient(URI url, ObjectStoreTimeouts timeouts, TimerService timers) {
     HttpUrl parsed = HttpUrl.parse(url.toString());
@@ -55,7 +55,8 @@
         new OkHttpClient.Builder()
             .connectTimeout(timeouts.connect())
             .callTimeout(timeouts.call())
-            .retryOnConnectionFailure(false) // a repeated update would see its own first try
+            // A repeated update would conflict with its own first attempt.
+            .retryOnConnectionFailure(false)
             .followRedirects(false)
             .eventListenerFactory(SentTracker::of)
             .build();
@@ -77,7 +78,11 @@
         (reason, sent) -> new ReadResult.Failed(reason));
   }
 
-  /** Lists the objects of a kind; empty on failure when {@code failed} has been called. */
+  /**
+   * Lists the objects of a kind.
+   *
+   * @param failed called with the reason if the list can't be read; the result is then empty
+   */
   public CompletableFuture<List<StoredObject>> list(String kind, Consumer<String> failed) {
     Request request = request().url(base.newBuilder().addPathSegment(kind).build()).build();
     return send(
@@ -100,10 +105,10 @@
   }
 
   /**
-   * Creates or updates an object on condition of its version.
+   * Creates or updates an object if its current version is the expected one.
    *
-   * @param version the version that must be the current one; empty when the object must not exist
-   * @param spec the new content
+   * @param version expected resource version; empty if the object must not exist yet
+   * @param spec new content of the object
    */
   public CompletableFuture<WriteResult> put(
       String kind, String name, String version, JsonNode spec) {
@@ -125,11 +130,11 @@
   }
 
   /**
-   * Watches an object until the subscription is cancelled. After a failure the watch is opened
-   * again from the last version seen.
+   * Watches an object until the subscription is cancelled. After a failure the watch is reopened
+   * from the last received version.
    *
-   * @param listener gets the object as it is now and after every later change, on a thread of the
-   *     HTTP client; intermediate versions may be left out
+   * @param listener called with the current object and after each later change, on a thread of the
+   *     HTTP client; intermediate versions may be skipped
    */
   public TimerSubscription watch(String kind, String name, Consumer<StoredObject> listener) {
     ObjectWatch watch =
@@ -138,7 +143,7 @@
     return watch;
   }
 
-  /** Ends all calls and the threads of the client. */
+  /** Cancels all calls and stops the threads of the client. */
   @Override
   public void close() {
     http.dispatcher().cancelAll();
@@ -165,7 +170,7 @@
     if (status >= 400 && status < 500) {
       return new WriteResult.Refused("status " + status, status == 413, retryAfter(response));
     }
-    // A gateway sends 5xx also after it passed the update on, so nothing is known.
+    // A gateway can respond with 5xx after it has forwarded the update, so the outcome is unknown.
     return new WriteResult.Unknown("status " + status);
   }
 
@@ -192,27 +197,27 @@
     T read(Response response) throws IOException;
   }
 
-  private interface FailureReader<T> {
-    T read(String reason, boolean sent);
+  private interface FailureMapper<T> {
+    T map(String reason, boolean sent);
   }
 
   private <T> CompletableFuture<T> send(
-      Call call, ResponseReader<T> reader, FailureReader<T> onFailure) {
+      Call call, ResponseReader<T> reader, FailureMapper<T> onFailure) {
     CompletableFuture<T> result = new CompletableFuture<>();
     SentTracker tracker = SentTracker.of(call);
     call.enqueue(
         new Callback() {
           @Override
           public void onFailure(Call failed, IOException e) {
-            result.complete(onFailure.read(describe(e), tracker.sent()));
+            result.complete(onFailure.map(describe(e), tracker.sent()));
           }
 
           @Override
-          public void onResponse(Call answered, Response response) {
+          public void onResponse(Call completed, Response response) {
             try (response) {
               result.complete(reader.read(response));
             } catch (IOException | RuntimeException e) {
-              result.complete(onFailure.read(describe(e), true));
+              result.complete(onFailure.map(describe(e), true));
             }
           }
         });
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreTimeouts.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreTimeouts.java
@@ -3,17 +3,20 @@
 import java.time.Duration;
 
 /**
- * Time limits of the object service client.
+ * Timeouts of the object service client.
  *
- * @param connect for a connection to be made
- * @param call for a whole read or update, including the connection
- * @param watchIdle after which a watch without any line is opened again; connections can go
- *     silent without being closed
- * @param watchRetryDelay time before a failed watch is opened again
+ * @param connect time limit for opening a connection
+ * @param call time limit for a whole read or update, including opening the connection
+ * @param watchIdle time without any line after which a watch is reopened; a broken connection may
+ *     stop delivering data without being closed
+ * @param watchRetryDelay delay before a failed watch is reopened
  */
 public record ObjectStoreTimeouts(
     Duration connect, Duration call, Duration watchIdle, Duration watchRetryDelay) {
-  /** The object service answers in milliseconds, so a second without an answer is an outage. */
+  /**
+   * Default timeouts. The object service normally responds within milliseconds, so a call without a
+   * response after one second is treated as an outage.
+   */
   public static final ObjectStoreTimeouts DEFAULT =
       new ObjectStoreTimeouts(
           Duration.ofMillis(500),
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
@@ -14,7 +14,10 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** One watch, opened again after each failure. */
+/**
+ * Watch of one object. The watch is reopened after each failure, from the last received version,
+ * until it is cancelled.
+ */
 final class ObjectWatch implements TimerSubscription, Callback {
   private final OkHttpClient http;
   private final HttpUrl url;
@@ -73,13 +76,13 @@
   }
 
   @Override
-  public void onResponse(Call answered, Response response) {
+  public void onResponse(Call completed, Response response) {
     try (response) {
       if (response.code() == 200) {
         readLines(response.body().source());
       }
     } catch (IOException e) {
-      // The connection broke or went silent; opening it again is the remedy for both.
+      // The connection failed or was idle for too long. In both cases the watch is reopened below.
     } finally {
       scheduleReopen();
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
@@ -5,12 +5,13 @@
 import org.mustardlatch.core.time.TimerService;
 
 /**
- * One attempt to publish a manifest: read, conditional update, and reading back after a lost
- * answer.
+ * Operation that publishes one manifest: a read, a conditional update, and a read back if the
+ * response to the update is lost.
  *
- * <p>A lost update may still be applied while the version that it names is the current one.
- * Therefore a read that shows the old version settles nothing, and the update is sent again on that
- * version: whichever of the two is applied makes the other fail.
+ * <p>An update whose response was lost may still be applied as long as the version on which it is
+ * conditional is the current one. A read that returns the old version therefore does not prove that
+ * the update failed. The update is sent again on the same version: at most one of the two can be
+ * applied, because it changes the version and makes the other one fail.
  */
 final class Publication {
   private static final Duration RETRY_DELAY = Duration.ofMillis(100);
@@ -21,6 +22,8 @@
   private final String text;
   private final String nonce;
   private final long deadlineNanos;
+
+  /** Whether the response to an update was lost, so that the manifest may have been stored. */
   private volatile boolean outcomeAmbiguous;
 
   Publication(
@@ -29,13 +32,13 @@
       long base,
       String text,
       String nonce,
-      long giveUpNanos) {
+      long deadlineNanos) {
     this.store = store;
     this.timers = timers;
     this.base = base;
     this.text = text;
     this.nonce = nonce;
-    this.deadlineNanos = giveUpNanos;
+    this.deadlineNanos = deadlineNanos;
   }
 
   CompletableFuture<PublishResult> run() {
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
@@ -6,25 +6,25 @@
   record Published(long revision) implements PublishResult {}
 
   /**
-   * Another manifest was published meanwhile; nothing was stored.
+   * The latest revision is not the base revision; nothing was stored.
    *
-   * @param latest the manifest that is stored now
+   * @param latest the latest stored manifest
    */
   record Conflict(ManifestRevision latest) implements PublishResult {}
 
   /**
-   * Nothing was stored and nothing will be.
+   * Nothing was stored, and no update is pending that could still be applied.
    *
-   * @param reason for the operator
+   * @param reason explanation for the operator
    */
   record Refused(String reason) implements PublishResult {}
 
   /**
-   * The manifest may be stored, now or later. Publishing again with the same base revision settles
-   * it.
+   * The manifest may have been stored or may still be stored later. Publishing again with the same
+   * base revision resolves the uncertainty.
    *
-   * @param revision the revision that it has if it is stored
-   * @param reason for the operator
+   * @param revision revision number of the manifest if it is stored
+   * @param reason explanation for the operator
    */
   record Unknown(long revision, String reason) implements PublishResult {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ReadResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ReadResult.java
@@ -5,13 +5,13 @@
   /** The object exists. */
   record Found(StoredObject object) implements ReadResult {}
 
-  /** The object service answered that there is no such object. */
+  /** The object service responded that the object does not exist. */
   record NotFound() implements ReadResult {}
 
   /**
-   * Nothing is known about the object.
+   * The read failed, so it is unknown whether the object exists.
    *
-   * @param reason for the log
+   * @param reason explanation for the log
    */
   record Failed(String reason) implements ReadResult {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/SentTracker.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/SentTracker.java
@@ -4,13 +4,13 @@
 import okhttp3.EventListener;
 
 /**
- * Remembers whether any byte of a request may have left the process. A call that fails before that
- * was certainly not applied.
+ * Records whether any byte of a request may have been sent. A call that fails before that point was
+ * certainly not applied.
  */
 final class SentTracker extends EventListener {
   private volatile boolean sent;
 
-  /** Returns the tracker that the request carries as a tag. */
+  /** Returns the tracker attached to the request as a tag. */
   static SentTracker of(Call call) {
     SentTracker tracker = call.request().tag(SentTracker.class);
     return tracker == null ? new SentTracker() : tracker;
@@ -21,6 +21,7 @@
     sent = true;
   }
 
+  /** Returns whether any byte of the request may have been sent. */
   boolean sent() {
     return sent;
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/StoredObject.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/StoredObject.java
@@ -3,10 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * An object as the object service holds it.
+ * Snapshot of an object in the object service.
  *
- * @param name name within its kind
- * @param version resource version, which every update changes; a conditional update names it
- * @param spec content; must not be modified
+ * @param name name of the object, unique within its kind
+ * @param version resource version, which changes with every update; used as the condition of
+ *     updates
+ * @param spec content of the object; must not be modified
  */
 public record StoredObject(String name, String version, JsonNode spec) {}
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/WriteResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/WriteResult.java
@@ -11,24 +11,24 @@
    */
   record Stored(String version) implements WriteResult {}
 
-  /** The object has another version than the named one; the update was not applied. */
+  /** The current version differs from the expected one; the update was not applied. */
   record Conflict() implements WriteResult {}
 
   /**
-   * The update was not applied and never will be: the object service refused it, or nothing was
-   * sent.
+   * The update was not applied and never will be, because the object service refused it or because
+   * nothing was sent.
    *
-   * @param reason for the log
-   * @param tooLarge whether the object exceeds the size limit, so that repeating it is useless
-   * @param retryAfter time that the object service asks to wait; zero when it named none
+   * @param reason explanation for the log
+   * @param tooLarge whether the object exceeds the size limit, so that a retry can't succeed
+   * @param retryAfter delay requested by the object service; zero if it requested none
    */
   record Refused(String reason, boolean tooLarge, Duration retryAfter) implements WriteResult {}
 
   /**
-   * The update may have been applied, or may be applied at any later time while the named version
-   * is the current one.
+   * The outcome is unknown. The update may have been applied, or may still be applied as long as
+   * the expected version is the current one.
    *
-   * @param reason for the log
+   * @param reason explanation for the log
    */
   record Unknown(String reason) implements WriteResult {}
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/package-info.java
@@ -1,4 +1,4 @@
-/** Client of the platform's object service, and the manifest object in it. */
+/** Client of the platform's object service and access to the manifest stored there. */
 @NullMarked
 package org.mustardlatch.daemon.store;
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/Await.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/Await.java
@@ -5,19 +5,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Waits for conditions. */
+/** Polls conditions until they hold. */
 final class Await {
   private static final long POLL_MILLIS = 5;
 
   private Await() {}
 
-  /** Returns when the condition holds; fails when it does not within the bound. */
-  static void until(String condition, Duration bound, BooleanSupplier holds) {
-    long end = System.nanoTime() + bound.toNanos();
+  /**
+   * Returns when the condition holds.
+   *
+   * @param description names the condition in the failure message
+   * @throws AssertionError if the condition does not hold before the timeout expires
+   */
+  static void until(String description, Duration timeout, BooleanSupplier condition) {
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     CountDownLatch never = new CountDownLatch(1);
-    while (!holds.getAsBoolean()) {
-      if (System.nanoTime() - end > 0) {
-        throw new AssertionError(condition + ": not within " + bound);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() - deadlineNanos > 0) {
+        throw new AssertionError(description + ": not within " + timeout);
       }
       try {
         boolean unused = never.await(POLL_MILLIS, TimeUnit.MILLISECONDS);
--- a/daemon/src/test/java/org/mustardlatch/daemon/BadInputTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/BadInputTest.java
@@ -16,7 +16,10 @@
 import org.mustardlatch.standin.EngineOptions;
 import org.mustardlatch.standin.TokenText;
 
-/** Guards against input that breaks the daemon for the next request, or gets an unclear error. */
+/**
+ * Guards against invalid input that gets a wrong or unclear error, or that makes the next valid
+ * request fail. A valid request is sent after each test.
+ */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class BadInputTest {
   private final InProcessFleet fleet =
@@ -30,8 +33,9 @@
 
   @AfterEach
   void nextRequestSucceeds() {
-    TestHttpClient.Response answer = InProcessFleet.complete(fleet.daemon().callerPort(), "next", 3, false);
-    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("next", 3));
+    TestHttpClient.Response response =
+        InProcessFleet.complete(fleet.daemon().callerPort(), "next", 3, false);
+    assertThat(response.generatedText()).isEqualTo(TokenText.answer("next", 3));
   }
 
   @AfterAll
@@ -41,10 +45,10 @@
 
   @Test
   void malformedJsonIsRefusedWithItsLocation() {
-    TestHttpClient.Response answer = post("{\"model\": \"wording\",");
-    assertThat(answer.status()).isEqualTo(400);
-    assertThat(answer.errorCode()).isEqualTo("malformed_json");
-    assertThat(answer.body()).contains("line 1");
+    TestHttpClient.Response response = post("{\"model\": \"wording\",");
+    assertThat(response.status()).isEqualTo(400);
+    assertThat(response.errorCode()).isEqualTo("malformed_json");
+    assertThat(response.body()).contains("line 1");
   }
 
   @Test
@@ -78,21 +82,23 @@
   void fieldsThatOpenAiClientsSendAreAcceptedButTransferParametersAreNot() {
     assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\",\"user\":\"u\",\"top_k\":3}").status())
         .isEqualTo(200);
-    assertThat(post("{\"model\":\"wording\",\"prompt\":\"a\",\"kv_transfer_params\":{}}").errorCode())
+    assertThat(
+            post("{\"model\":\"wording\",\"prompt\":\"a\",\"kv_transfer_params\":{}}").errorCode())
         .isEqualTo("unknown_field");
   }
 
   @Test
   void anUnknownModelAndAnUnknownKeyAreRefused() {
-    assertThat(post("{\"model\":\"other\",\"prompt\":\"a\"}").errorCode()).isEqualTo("unknown_model");
-    TestHttpClient.Response answer =
+    assertThat(post("{\"model\":\"other\",\"prompt\":\"a\"}").errorCode())
+        .isEqualTo("unknown_model");
+    TestHttpClient.Response response =
         TestHttpClient.send(
             HttpRequest.newBuilder(fleet.url("/v1/completions"))
                 .header("Authorization", "Bearer wrong")
                 .POST(BodyPublishers.ofString("{}"))
                 .build());
-    assertThat(answer.status()).isEqualTo(401);
-    assertThat(answer.errorCode()).isEqualTo("unauthenticated");
+    assertThat(response.status()).isEqualTo(401);
+    assertThat(response.errorCode()).isEqualTo("unauthenticated");
   }
 
   @Test
@@ -126,10 +132,10 @@
 
   @Test
   void oversizedHeadersGetAJsonError() throws IOException {
-    String answer =
+    String response =
         sendRaw("GET /v1/models HTTP/1.1\r\nHost: a\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n");
-    assertThat(answer).startsWith("HTTP/1.1 431");
-    assertThat(answer).contains("\"code\":\"headers_too_large\"");
+    assertThat(response).startsWith("HTTP/1.1 431");
+    assertThat(response).contains("\"code\":\"headers_too_large\"");
   }
 
   @Test
@@ -144,19 +150,19 @@
 
   @Test
   void anInvalidManifestIsRefusedWithAllErrors() {
-    TestHttpClient.Response answer =
+    TestHttpClient.Response response =
         TestHttpClient.post(fleet.operatorUrl("/manifest?base=1"), "a = 1\nb = 2\n", "text/plain");
-    assertThat(answer.errorCode()).isEqualTo("manifest_invalid");
-    assertThat(answer.body()).contains("manifest:1:1");
-    assertThat(answer.body()).contains("manifest:2:1");
+    assertThat(response.errorCode()).isEqualTo("manifest_invalid");
+    assertThat(response.body()).contains("manifest:1:1");
+    assertThat(response.body()).contains("manifest:2:1");
   }
 
   @Test
   void aManifestOnAnOldBaseIsAConflict() {
     String text = TestHttpClient.get(fleet.operatorUrl("/manifest")).body();
-    TestHttpClient.Response answer =
+    TestHttpClient.Response response =
         TestHttpClient.post(fleet.operatorUrl("/manifest?base=0"), text, "text/plain");
-    assertThat(answer.errorCode()).isEqualTo("manifest_conflict");
+    assertThat(response.errorCode()).isEqualTo("manifest_conflict");
   }
 
   private TestHttpClient.Response post(String body) {
@@ -167,9 +173,9 @@
     try (Socket socket =
         new Socket(InetAddress.getLoopbackAddress(), fleet.daemon().callerPort())) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-      byte[] answer = new byte[2_000];
-      int length = socket.getInputStream().readNBytes(answer, 0, 300);
-      return new String(answer, 0, Math.max(0, length), StandardCharsets.US_ASCII);
+      byte[] response = new byte[2_000];
+      int length = socket.getInputStream().readNBytes(response, 0, 300);
+      return new String(response, 0, Math.max(0, length), StandardCharsets.US_ASCII);
     }
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/DaemonProcess.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/DaemonProcess.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A daemon as a process of its own, so that signals can be sent to it. */
+/** Daemon in a separate process, so that tests can send signals to it. */
 final class DaemonProcess implements AutoCloseable {
   private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
 
@@ -23,9 +23,11 @@
   /**
    * Starts a daemon.
    *
-   * @param directory where settings and log go
-   * @param peerPort where it listens for the other daemons
-   * @param seedPort peer port of another daemon
+   * @param directory directory for the settings and log files
+   * @param host host id of the daemon
+   * @param store URL of the object service
+   * @param peerPort port on which the daemon listens for its peers
+   * @param seedPort peer port of the daemon that serves as seed
    */
   DaemonProcess(Path directory, String host, String store, int peerPort, int seedPort) {
     this.host = host;
@@ -71,7 +73,7 @@
     }
   }
 
-  /** Returns a port that was free a moment ago. */
+  /** Returns a free loopback port; another process may bind it before the caller does. */
   static int freePort() {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
@@ -104,7 +106,7 @@
     }
   }
 
-  /** Sends a signal, for example {@code STOP}. */
+  /** Sends a signal to the process; the name has no prefix, for example {@code STOP}. */
   void signal(String name) {
     try {
       Process kill = new ProcessBuilder("kill", "-" + name, "" + process.pid()).start();
@@ -118,11 +120,11 @@
     }
   }
 
-  /** Waits for the process to end and returns its exit code. */
-  int awaitExit(Duration bound) {
+  /** Waits for the process to exit and returns its exit code. */
+  int awaitExit(Duration timeout) {
     try {
-      if (!process.waitFor(bound.toMillis(), TimeUnit.MILLISECONDS)) {
-        throw new AssertionError(host + " did not exit within " + bound);
+      if (!process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS)) {
+        throw new AssertionError(host + " did not exit within " + timeout);
       }
       return process.exitValue();
     } catch (InterruptedException e) {
--- a/daemon/src/test/java/org/mustardlatch/daemon/DumpTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/DumpTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.standin.EngineOptions;
 
-/** Guards against a dump that leaves out the parts that decide. */
+/** Guards against a dump that omits the state of routing or of the peers, or the manifest. */
 class DumpTest {
   @Test
   void aDumpContainsRoutingPeersAndManifest() {
--- a/daemon/src/test/java/org/mustardlatch/daemon/GoldenSessionTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/GoldenSessionTest.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 
 /**
- * Guards against changes of what callers and operators see: whole sessions are compared with golden
- * files.
+ * Guards against unintended changes of the responses to callers, by comparing whole sessions with
+ * golden files.
  */
 class GoldenSessionTest {
   private static final String JSON = "application/json";
--- a/daemon/src/test/java/org/mustardlatch/daemon/GracefulStopTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/GracefulStopTest.java
@@ -13,7 +13,7 @@
 import org.mustardlatch.standin.EngineOptions;
 import org.mustardlatch.standin.TokenText;
 
-/** Guards against planned stops that cut off answers, and against unclear start failures. */
+/** Guards against graceful stops that cut off streams, and against wrong exit codes at startup. */
 class GracefulStopTest {
   @Test
   void aGracefulStopRefusesNewRequestsAsNotRunAndFinishesStreams() throws Exception {
--- a/daemon/src/test/java/org/mustardlatch/daemon/InProcessFleet.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/InProcessFleet.java
@@ -13,13 +13,19 @@
 import org.mustardlatch.standin.EngineStandin;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** A daemon with stand-in engines inside the test's process, on loopback ports chosen at start. */
+/**
+ * Daemon, stand-in engines and stand-in object service inside the test process, on loopback ports
+ * chosen at startup.
+ */
 final class InProcessFleet implements AutoCloseable {
   static final String API_KEY = "demo-key";
   static final String API_KEY_SHA256 =
       "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c";
 
-  /** The rate of the manifest; far below what the stand-ins do, so that no prediction is tight. */
+  /**
+   * Prefill rate in the manifest. It is far below the actual rate of the stand-ins, so that
+   * predicted times have a large margin.
+   */
   private static final int PREFILL_TOKENS_PER_SECOND = 100_000;
 
   private final List<EngineStandin> engines = new ArrayList<>();
@@ -41,7 +47,7 @@
         () -> TestHttpClient.get(operatorUrl("/readyz")).status() == 200);
   }
 
-  /** Starts a second daemon with the same object service; the caller stops it. */
+  /** Starts a further daemon with the same object service. The test must stop it. */
   Daemon startAnother(String host, int drainDelayMillis) {
     Daemon other = new Daemon(settings(host, store.url(), drainDelayMillis));
     other.start();
@@ -56,7 +62,7 @@
     return URI.create("http://127.0.0.1:" + port + path);
   }
 
-  /** Sends a completion request through a daemon. */
+  /** Sends a completion request to the daemon with the given caller port. */
   static TestHttpClient.Response complete(int port, String prompt, int tokens, boolean stream) {
     return TestHttpClient.post(
         url(port, "/v1/completions"), completionBody(prompt, tokens, stream), "application/json");
@@ -67,12 +73,15 @@
         .formatted(prompt, tokens, stream);
   }
 
-  /** Publishes the engines together with more manifest text. */
-  void publish(String more) {
-    publishText(manifest() + more);
+  /** Publishes a manifest of the engines, followed by additional manifest text. */
+  void publish(String additionalText) {
+    publishText(manifest() + additionalText);
   }
 
-  /** Returns manifest text of the routes to an application service: one keyed, one for look-ups. */
+  /**
+   * Returns manifest text with two routes to an application service: one that requires an
+   * idempotency key and one for idempotent look-ups.
+   */
   static String orderRoutes(URI service) {
     return """
         [[upstream]]
@@ -93,16 +102,18 @@
         .formatted(service);
   }
 
-  /** Publishes the engines with a rate for the workspace, requests per second. */
+  /**
+   * Publishes a manifest of the engines that limits the workspace to a rate in requests per second.
+   */
   void publishWithRateLimit(double rate) {
     publishText(manifest().replace("[[model]]", "requests_per_second = " + rate + "\n[[model]]"));
   }
 
   private void publishText(String text) {
     String base = TestHttpClient.get(operatorUrl("/status")).json().path("revision").asText();
-    TestHttpClient.Response answer =
+    TestHttpClient.Response response =
         TestHttpClient.post(operatorUrl("/manifest?base=" + base), text, "application/toml");
-    assertThat(answer.toString()).startsWith("200 ");
+    assertThat(response.toString()).startsWith("200 ");
   }
 
   EngineStandin engine(int index) {
@@ -125,10 +136,10 @@
     return url(daemon.operatorPort(), path);
   }
 
-  void awaitNothingAllocated(Duration bound) {
+  void awaitNoAllocations(Duration timeout) {
     Await.until(
-        "engines hold nothing",
-        bound,
+        "engines have no allocations",
+        timeout,
         () -> engines.stream().allMatch(e -> e.allocations().isEmpty()));
   }
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/KeyedRequestTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/KeyedRequestTest.java
@@ -9,11 +9,15 @@
 import org.mustardlatch.standin.ApplicationStandin;
 import org.mustardlatch.standin.EngineOptions;
 
-/** Guards against confirmations that run twice or are answered wrongly, through two daemons. */
+/**
+ * Guards against keyed requests that are executed twice or get a wrong response, also when they are
+ * repeated at another daemon.
+ */
 class KeyedRequestTest {
   private final ApplicationStandin application = new ApplicationStandin(0);
   private final InProcessFleet fleet =
-      new InProcessFleet(EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"));
+      new InProcessFleet(
+          EngineOptions.fast("prefill-1", "prefill"), EngineOptions.fast("d-1", "decode"));
 
   @BeforeEach
   void publishRoutes() {
@@ -75,9 +79,9 @@
 
   @Test
   void aConfirmationRequiresAKeyAndALookUpDoesNot() {
-    TestHttpClient.Response answer =
+    TestHttpClient.Response response =
         TestHttpClient.post(fleet.url("/orders/confirm"), "{}", "application/json");
-    assertThat(answer.errorCode()).isEqualTo("invalid_argument");
+    assertThat(response.errorCode()).isEqualTo("invalid_argument");
     TestHttpClient.Response status = TestHttpClient.get(fleet.url("/orders/status/7?full=yes"));
     assertThat(status.json().path("path").asText()).isEqualTo("/orders/status/7");
     assertThat(status.json().path("query").asText()).isEqualTo("full=yes");
--- a/daemon/src/test/java/org/mustardlatch/daemon/ObjectServiceListsTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ObjectServiceListsTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.standin.EngineOptions;
 
-/** Guards against a host list that nobody reads and nodes that can join by seeds only. */
+/**
+ * Guards against two faults in the use of object service lists: the host list is not read, so that
+ * leaving hosts get new work, or the node list is not read, so that nodes can join only by seeds.
+ */
 class ObjectServiceListsTest {
   private final InProcessFleet fleet =
       new InProcessFleet(
@@ -37,8 +40,9 @@
     assertThat(TestHttpClient.send(put).status()).isAnyOf(200, 201);
     Await.until("five seconds passed", Duration.ofSeconds(10), elapsed(Duration.ofSeconds(5)));
     for (int i = 0; i < 20; i++) {
-      TestHttpClient.Response answer = InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
-      String id = answer.header("x-request-id");
+      TestHttpClient.Response response =
+          InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
+      String id = response.header("x-request-id");
       String explained = TestHttpClient.get(fleet.operatorUrl("/explain/" + id)).body();
       assertThat(explained).contains("decode=decode-2");
       assertThat(explained).doesNotContain("decode=decode-1");
@@ -65,7 +69,7 @@
   }
 
   private static BooleanSupplier elapsed(Duration duration) {
-    long end = System.nanoTime() + duration.toNanos();
-    return () -> System.nanoTime() - end >= 0;
+    long endNanos = System.nanoTime() + duration.toNanos();
+    return () -> System.nanoTime() - endNanos >= 0;
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
@@ -28,9 +28,14 @@
 import org.mustardlatch.standin.ObjectServiceStandin;
 import org.mustardlatch.standin.TokenText;
 
-/** Guards against faults that only signals to real processes bring about. */
+/**
+ * Guards against faults that occur when a node process is killed, suspended or terminated. They can
+ * be reproduced only by signals to real processes.
+ */
 class ProcessFaultTest {
-  /** Design 4.6: detection, suspicion, refutation time and sweep. */
+  /**
+   * Covers failure detection, suspicion, refutation time and attempt sweep (design, section 4.6).
+   */
   private static final Duration DEAD_NODE_CLEANUP_TIMEOUT = Duration.ofSeconds(20);
 
   private static final Duration STEP_TIMEOUT = Duration.ofSeconds(30);
@@ -85,43 +90,47 @@
 
   @Test
   void engineMemoryOfAKilledNodeIsFreed() {
-    Future<TestHttpClient.Response> lost = callers.submit(() -> complete(first, "killed", ENDLESS_TOKENS));
-    awaitDecoding(lost);
+    Future<TestHttpClient.Response> interrupted =
+        callers.submit(() -> complete(first, "killed", ENDLESS_TOKENS));
+    awaitDecoding(interrupted);
     first.signal("KILL");
-    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
-    assertThat(complete(second, "after", 10).generatedText()).isEqualTo(TokenText.answer("after", 10));
-    lost.cancel(true);
+    awaitNoAllocations(DEAD_NODE_CLEANUP_TIMEOUT);
+    assertThat(complete(second, "after", 10).generatedText())
+        .isEqualTo(TokenText.answer("after", 10));
+    interrupted.cancel(true);
   }
 
   @Test
   void engineMemoryOfASuspendedNodeIsFreedAndTheNodeServesAgainAfterResuming() {
-    Future<TestHttpClient.Response> frozen = callers.submit(() -> complete(first, "frozen", ENDLESS_TOKENS));
-    awaitDecoding(frozen);
+    Future<TestHttpClient.Response> suspended =
+        callers.submit(() -> complete(first, "frozen", ENDLESS_TOKENS));
+    awaitDecoding(suspended);
     first.signal("STOP");
-    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
+    awaitNoAllocations(DEAD_NODE_CLEANUP_TIMEOUT);
     first.signal("CONT");
-    Await.until("thawed node serves", STEP_TIMEOUT, () -> completesCorrectly(first, "thawed"));
-    frozen.cancel(true);
-    awaitNothingAllocated(DEAD_NODE_CLEANUP_TIMEOUT);
+    Await.until("resumed node serves", STEP_TIMEOUT, () -> completesCorrectly(first, "thawed"));
+    suspended.cancel(true);
+    awaitNoAllocations(DEAD_NODE_CLEANUP_TIMEOUT);
   }
 
   @Test
   void connectionsOpenedWhileTheNodeIsSuspendedAreServedAfterItResumes() throws Exception {
     first.signal("STOP");
     CountDownLatch written = new CountDownLatch(CONNECTION_BURST);
-    List<Future<String>> answers = new ArrayList<>();
+    List<Future<String>> responses = new ArrayList<>();
     for (int i = 0; i < CONNECTION_BURST; i++) {
-      answers.add(callers.submit(() -> sendInTwoSegments(first.callerPort(), written)));
+      responses.add(callers.submit(() -> sendInTwoSegments(first.callerPort(), written)));
     }
-    // With a short queue, clients connect again after 1 s, all at once, and overflow it once more.
+    // With a short accept queue, all clients reconnect after 1 s at the same time and overflow the
+    // queue again.
     var unused = written.await(300, TimeUnit.MILLISECONDS);
     first.signal("CONT");
-    for (Future<String> answer : answers) {
-      assertThat(answer.get()).startsWith("HTTP/1.1 ");
+    for (Future<String> response : responses) {
+      assertThat(response.get()).startsWith("HTTP/1.1 ");
     }
   }
 
-  /** Sends a request as clients do that write its head and the rest on their own. */
+  /** Sends a request whose header is split into two TCP segments, as some clients do. */
   private static String sendInTwoSegments(int port, CountDownLatch written) throws IOException {
     try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
       s.setSoTimeout((int) STEP_TIMEOUT.toMillis());
@@ -145,7 +154,7 @@
   @Test
   void aConfirmationStartedByAKilledNodeIsNotRunAgain() {
     orders.faults().stall(true);
-    Future<?> lost = callers.submit(() -> confirm(first, "order-1"));
+    Future<?> interrupted = callers.submit(() -> confirm(first, "order-1"));
     Await.until("dispatched", STEP_TIMEOUT, () -> orders.faults().waiting() > 0);
     first.signal("KILL");
     assertThat(confirm(second, "order-1").errorCode()).isAnyOf("in_progress", "outcome_unknown");
@@ -153,30 +162,31 @@
     Await.until("the first run ends", STEP_TIMEOUT, () -> orders.runs("order-1") > 0);
     assertThat(confirm(second, "order-1").status()).isNotEqualTo(503);
     assertThat(orders.runs("order-1")).isEqualTo(1);
-    lost.cancel(true);
+    interrupted.cancel(true);
   }
 
   private static void awaitMembers(DaemonProcess node, int count) {
     Await.until(
         count + " members",
         STEP_TIMEOUT,
-        () -> TestHttpClient.get(node.operatorUrl("/status")).json().path("members").size() == count);
+        () ->
+            TestHttpClient.get(node.operatorUrl("/status")).json().path("members").size() == count);
   }
 
-  private void awaitDecoding(Future<TestHttpClient.Response> answer) {
+  private void awaitDecoding(Future<TestHttpClient.Response> response) {
     Await.until(
         "decode runs",
         STEP_TIMEOUT,
         () -> {
-          assertWithMessage("answer before decode").that(answer.state()).isEqualTo(RUNNING);
+          assertWithMessage("response before decode").that(response.state()).isEqualTo(RUNNING);
           return engines.get(1).allocations().size() + engines.get(2).allocations().size() > 0;
         });
   }
 
-  private void awaitNothingAllocated(Duration bound) {
+  private void awaitNoAllocations(Duration timeout) {
     Await.until(
-        "engines hold nothing",
-        bound,
+        "engines have no allocations",
+        timeout,
         () -> engines.stream().allMatch(e -> e.allocations().isEmpty()));
   }
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/RequestPathTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/RequestPathTest.java
@@ -18,7 +18,10 @@
 import org.mustardlatch.standin.EngineOptions;
 import org.mustardlatch.standin.TokenText;
 
-/** Guards against answers that are incomplete, of another request, or leave memory behind. */
+/**
+ * Guards against output that is incomplete or belongs to another request, and against requests
+ * whose engine memory is not freed.
+ */
 class RequestPathTest {
   private static final Duration TOKEN_GAP = Duration.ofMillis(10);
 
@@ -35,49 +38,52 @@
 
   @Test
   void aStreamCarriesTheWholeOutputAndTheEndMarker() {
-    TestHttpClient.Response answer = complete("write a wedding envelope", 20, true);
-    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("write a wedding envelope", 20));
-    assertThat(answer.body()).endsWith("data: [DONE]\n\n");
-    fleet.awaitNothingAllocated(Duration.ofSeconds(5));
-    String id = answer.header("x-request-id");
+    TestHttpClient.Response response = complete("write a wedding envelope", 20, true);
+    assertThat(response.generatedText())
+        .isEqualTo(TokenText.answer("write a wedding envelope", 20));
+    assertThat(response.body()).endsWith("data: [DONE]\n\n");
+    fleet.awaitNoAllocations(Duration.ofSeconds(5));
+    String id = response.header("x-request-id");
     assertThat(TestHttpClient.get(fleet.operatorUrl("/explain/" + id)).body()).contains("rule");
   }
 
   @Test
   void aNonStreamedResponseContainsItsUsage() {
-    TestHttpClient.Response answer = complete("write a birthday envelope", 7, false);
-    assertThat(answer.generatedText()).isEqualTo(TokenText.answer("write a birthday envelope", 7));
-    assertThat(answer.json().path("usage").path("completion_tokens").asInt()).isEqualTo(7);
+    TestHttpClient.Response response = complete("write a birthday envelope", 7, false);
+    assertThat(response.generatedText())
+        .isEqualTo(TokenText.answer("write a birthday envelope", 7));
+    assertThat(response.json().path("usage").path("completion_tokens").asInt()).isEqualTo(7);
   }
 
   @Test
   void aChatCompletionIsGeneratedFromItsMessages() {
-    TestHttpClient.Response answer =
+    TestHttpClient.Response response =
         TestHttpClient.post(
             fleet.url("/v1/chat/completions"),
             """
             {"model": "wording", "max_completion_tokens": 5,
              "messages": [{"role": "user", "content": "two names"}]}""",
             "application/json");
-    assertThat(answer.json().at("/choices/0/message/content").asText())
+    assertThat(response.json().at("/choices/0/message/content").asText())
         .isEqualTo(TokenText.answer("<user>two names\n<assistant>", 5));
   }
 
   @Test
   void twoHundredConcurrentStreamsEachCarryTheirOwnOutput() throws Exception {
-    List<Future<TestHttpClient.Response>> answers = new ArrayList<>();
+    List<Future<TestHttpClient.Response>> responses = new ArrayList<>();
     try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
       for (int i = 0; i < 200; i++) {
         String prompt = "guest list number " + i;
-        answers.add(callers.submit(() -> complete(prompt, 20, true)));
+        responses.add(callers.submit(() -> complete(prompt, 20, true)));
       }
       for (int i = 0; i < 200; i++) {
-        TestHttpClient.Response answer = answers.get(i).get();
-        assertWithMessage(explain(answer)).that(answer.toString()).startsWith("200 ");
-        assertThat(answer.generatedText()).isEqualTo(TokenText.answer("guest list number " + i, 20));
+        TestHttpClient.Response response = responses.get(i).get();
+        assertWithMessage(explain(response)).that(response.toString()).startsWith("200 ");
+        assertThat(response.generatedText())
+            .isEqualTo(TokenText.answer("guest list number " + i, 20));
       }
     }
-    fleet.awaitNothingAllocated(Duration.ofSeconds(5));
+    fleet.awaitNoAllocations(Duration.ofSeconds(5));
   }
 
   @Test
@@ -96,23 +102,23 @@
   void aDecodeEngineCrashMidStreamCausesNeitherGapNorDuplicate() {
     fleet.engine(1).faults().crashAfter(7);
     for (int i = 0; i < 4; i++) {
-      TestHttpClient.Response answer = complete("names " + i, 25, true);
-      assertThat(answer.generatedText()).isEqualTo(TokenText.answer("names " + i, 25));
-      assertThat(answer.body()).endsWith("data: [DONE]\n\n");
+      TestHttpClient.Response response = complete("names " + i, 25, true);
+      assertThat(response.generatedText()).isEqualTo(TokenText.answer("names " + i, 25));
+      assertThat(response.body()).endsWith("data: [DONE]\n\n");
     }
-    fleet.awaitNothingAllocated(Duration.ofSeconds(5));
+    fleet.awaitNoAllocations(Duration.ofSeconds(5));
   }
 
   @Test
   void anEngineConnectionThatStopsSendingDoesNotLoseOutput() throws Exception {
     try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
-      Future<TestHttpClient.Response> answer = callers.submit(() -> complete("silent", 60, true));
+      Future<TestHttpClient.Response> response = callers.submit(() -> complete("silent", 60, true));
       Await.until("decode runs", Duration.ofSeconds(5), () -> decodeAllocations() > 0);
       fleet.engine(1).goSilent();
       fleet.engine(2).goSilent();
-      assertThat(answer.get().generatedText()).isEqualTo(TokenText.answer("silent", 60));
+      assertThat(response.get().generatedText()).isEqualTo(TokenText.answer("silent", 60));
     }
-    fleet.awaitNothingAllocated(Duration.ofSeconds(5));
+    fleet.awaitNoAllocations(Duration.ofSeconds(5));
   }
 
   @Test
@@ -122,7 +128,9 @@
     disconnectDuringDecode("a list whose cancel gets lost");
   }
 
-  /** Closes the connection of a long request and checks that the engines forget it. */
+  /**
+   * Disconnects during the decode of a long request and checks that the engines free its memory.
+   */
   private void disconnectDuringDecode(String prompt) throws IOException {
     String body = InProcessFleet.completionBody(prompt, 10_000, true);
     try (Socket socket =
@@ -139,11 +147,12 @@
                   .getBytes(StandardCharsets.US_ASCII));
       Await.until("decode runs", Duration.ofSeconds(5), () -> decodeAllocations() > 0);
     }
-    fleet.awaitNothingAllocated(Duration.ofSeconds(5));
+    fleet.awaitNoAllocations(Duration.ofSeconds(5));
   }
 
-  private String explain(TestHttpClient.Response answer) {
-    return TestHttpClient.get(fleet.operatorUrl("/explain/" + answer.header("x-request-id"))).body();
+  private String explain(TestHttpClient.Response response) {
+    return TestHttpClient.get(fleet.operatorUrl("/explain/" + response.header("x-request-id")))
+        .body();
   }
 
   private int decodeAllocations() {
--- a/daemon/src/test/java/org/mustardlatch/daemon/SessionRecorder.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/SessionRecorder.java
@@ -11,10 +11,10 @@
 import java.util.List;
 
 /**
- * Records the calls and answers of a session as text and compares them with a golden file. What
- * differs between runs (ids, times, ports, spread waiting times) is replaced by its kind. The
- * system property {@code golden.update} writes the files anew; read their difference before a
- * commit.
+ * Records the requests and responses of a session as text and compares them with a golden file.
+ * Values that differ between runs (ids, times, ports, retry delays with jitter) are replaced by
+ * placeholders. The system property {@code golden.update} rewrites the files; review their diff
+ * before committing.
  */
 final class SessionRecorder {
   private static final List<String[]> REPLACEMENTS =
@@ -31,13 +31,14 @@
     this.name = name;
   }
 
-  /** Records something that is done to the fleet, for example a fault. */
-  void step(String what) {
-    text.append("== ").append(what).append("\n");
+  /** Records the description of an action on the fleet, for example an injected fault. */
+  void step(String description) {
+    text.append("== ").append(description).append("\n");
   }
 
-  /** Sends a call with the demo key and records it with its answer. */
-  TestHttpClient.Response call(int port, String method, String path, String body, String... headers) {
+  /** Sends a request with the demo API key and records the request and its response. */
+  TestHttpClient.Response call(
+      int port, String method, String path, String body, String... headers) {
     HttpRequest.Builder request = TestHttpClient.request(InProcessFleet.url(port, path));
     request.method(
         method, body.isEmpty() ? BodyPublishers.noBody() : BodyPublishers.ofString(body));
@@ -49,22 +50,22 @@
     if (!body.isEmpty()) {
       text.append(abbreviate(body)).append('\n');
     }
-    TestHttpClient.Response answer = TestHttpClient.send(request.build());
-    text.append("< ").append(answer.status()).append('\n');
+    TestHttpClient.Response response = TestHttpClient.send(request.build());
+    text.append("< ").append(response.status()).append('\n');
     for (String header : List.of("content-type", "retry-after")) {
-      if (!answer.header(header).isEmpty()) {
-        text.append(header).append(": ").append(answer.header(header)).append('\n');
+      if (!response.header(header).isEmpty()) {
+        text.append(header).append(": ").append(response.header(header)).append('\n');
       }
     }
-    text.append(answer.body().strip()).append('\n');
-    return answer;
+    text.append(response.body().strip()).append('\n');
+    return response;
   }
 
   private static String abbreviate(String body) {
     return body.length() <= 400 ? body : body.substring(0, 40) + "... " + body.length() + " bytes";
   }
 
-  /** Compares the session with its golden file. */
+  /** Fails if the recorded session differs from its golden file. */
   void assertMatchesGoldenFile() {
     String actual = text.toString();
     for (String[] r : REPLACEMENTS) {
--- a/daemon/src/test/java/org/mustardlatch/daemon/TestHttpClient.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/TestHttpClient.java
@@ -15,7 +15,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** HTTP calls of a caller, by the client of the JDK so that client and daemon share no code. */
+/**
+ * HTTP client for tests. It is based on the JDK client, so that it shares no code with the daemon.
+ */
 final class TestHttpClient {
   private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -58,13 +60,13 @@
     }
   }
 
-  /** An answer with its body as text. */
+  /** HTTP response with its body as text. */
   record Response(int status, Map<String, List<String>> headers, String body) {
     JsonNode json() {
       return parse(body);
     }
 
-    /** Returns the text of a stream of completions or of a whole completion. */
+    /** Returns the generated text of a streamed or non-streamed completion. */
     String generatedText() {
       if (!body.startsWith("data: ")) {
         return json().path("choices").path(0).path("text").asText();
@@ -77,10 +79,12 @@
       return text.toString();
     }
 
+    /** Returns the first value of a header, or an empty string if the header is missing. */
     String header(String name) {
       return headers.getOrDefault(name, List.of("")).get(0);
     }
 
+    /** Returns the code of an error response, or an empty string. */
     String errorCode() {
       return json().path("error").path("code").asText();
     }
--- a/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
@@ -6,14 +6,15 @@
 import org.mustardlatch.standin.EngineOptions;
 
 /**
- * Guards against a rate that is checked nowhere. How nodes share it when demand moves and owners
- * vanish is in BudgetFleetTest of the core module.
+ * Guards against a workspace rate that is not enforced on the request path. How nodes share a rate
+ * when demand shifts or budget owners fail is tested by BudgetFleetTest in the core module.
  */
 class WorkspaceRateTest {
   private static final double RATE = 4;
 
   /**
-   * Design 4.11: the error is at most one lease time of units, and a new owner saves up one more.
+   * Permitted excess in seconds of the rate (design, section 4.11): at most one lease time of
+   * units, and one more that a new budget owner accumulates.
    */
   private static final double ERROR_SECONDS = 2;
 
@@ -27,13 +28,13 @@
       int granted = 0;
       int limited = 0;
       for (int i = 0; i < 40; i++) {
-        TestHttpClient.Response answer =
+        TestHttpClient.Response response =
             InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 1, false);
-        if (answer.status() == 200) {
+        if (response.status() == 200) {
           granted++;
         } else {
-          assertThat(answer.errorCode()).isEqualTo("rate_limited");
-          assertThat(answer.header("retry-after")).isNotEmpty();
+          assertThat(response.errorCode()).isEqualTo("rate_limited");
+          assertThat(response.header("retry-after")).isNotEmpty();
           limited++;
         }
       }
--- a/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ledger/LedgerServiceTest.java
@@ -44,7 +44,7 @@
   private static final Membership BOTH_NODES =
       new Membership() {
         @Override
-        public List<Member> live() {
+        public List<Member> liveMembers() {
           return List.of(member("a"), member("b"));
         }
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ManifestStoreTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ManifestStoreTest.java
@@ -15,7 +15,7 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** Guards against lost, doubled and overwritten publications of a manifest. */
+/** Guards against lost, duplicate and overwritten publications of a manifest. */
 class ManifestStoreTest {
   private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(10);
   private static final ObjectStoreTimeouts TIMEOUTS =
@@ -41,13 +41,16 @@
   @Test
   void revisionsIncreaseByOne() throws Exception {
     assertThat(get(manifests.read())).hasValue(ManifestRevision.NONE);
-    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(1));
-    assertThat(get(manifests.publish(1, "b", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(2));
+    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT)))
+        .isEqualTo(new PublishResult.Published(1));
+    assertThat(get(manifests.publish(1, "b", RESOLVE_TIMEOUT)))
+        .isEqualTo(new PublishResult.Published(2));
     assertThat(get(manifests.read())).hasValue(new ManifestRevision(2, "b"));
   }
 
   @Test
-  void ofTwoConcurrentPublishersOneSucceedsAndTheOtherGetsTheConflictingManifest() throws Exception {
+  void ofTwoConcurrentPublishersOneSucceedsAndTheOtherGetsTheConflictingManifest()
+      throws Exception {
     CompletableFuture<PublishResult> a = manifests.publish(0, "a", RESOLVE_TIMEOUT);
     CompletableFuture<PublishResult> b = manifests.publish(0, "b", RESOLVE_TIMEOUT);
     List<PublishResult> results = List.of(get(a), get(b));
@@ -61,7 +64,8 @@
   @Test
   void aLostResponseIsResolvedByReadingBackAndThePublicationIsStoredOnce() throws Exception {
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
-    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT))).isEqualTo(new PublishResult.Published(1));
+    assertThat(get(manifests.publish(0, "a", RESOLVE_TIMEOUT)))
+        .isEqualTo(new PublishResult.Published(1));
     assertThat(get(manifests.read())).hasValue(new ManifestRevision(1, "a"));
     assertThat(standin.calls("put")).isEqualTo(1);
   }
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
@@ -18,7 +18,10 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** Guards against wrong conclusions from the answers, or missing answers, of the object service. */
+/**
+ * Guards against wrong results for responses of the object service, and for responses that are lost
+ * or late.
+ */
 class ObjectStoreClientTest {
   private static final ObjectStoreTimeouts TIMEOUTS =
       new ObjectStoreTimeouts(
@@ -83,13 +86,14 @@
 
   @Test
   void updateSlowerThanTheTimeoutIsUnknownAndMayBeAppliedLater() throws Exception {
-    ObjectStoreTimeouts hasty =
+    ObjectStoreTimeouts shortTimeouts =
         new ObjectStoreTimeouts(
             Duration.ofSeconds(5), Duration.ofMillis(300), Duration.ofSeconds(5), Duration.ZERO);
     standin.setFaults(ObjectServiceFaults.slow(900));
     BlockingQueue<StoredObject> seen = new LinkedBlockingQueue<>();
     TimerSubscription watch = client.watch("test", "one", seen::add);
-    try (ObjectStoreClient slow = new ObjectStoreClient(URI.create(standin.url()), hasty, timers)) {
+    try (ObjectStoreClient slow =
+        new ObjectStoreClient(URI.create(standin.url()), shortTimeouts, timers)) {
       assertThat(get(slow.put("test", "one", "", text("late"))))
           .isInstanceOf(WriteResult.Unknown.class);
       assertThat(seen.poll(10, TimeUnit.SECONDS).spec()).isEqualTo(text("late"));
