--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -108,8 +108,7 @@
             secureRandom);
     AttemptOwner owner = new AttemptOwner(settings.host(), router::incarnation);
     EngineClient engines =
-        new EngineClient(
-            upstreamHosts, manifest, routingLoop, callExecutor, owner, this::post);
+        new EngineClient(upstreamHosts, manifest, routingLoop, callExecutor, owner, this::post);
     routing = new RoutingService(routingLoop, router, engines, peers.service()::send);
     upstreamPoller =
         new UpstreamPoller(
@@ -139,13 +138,7 @@
             state,
             manifest,
             new NodeInspector(
-                settings,
-                state,
-                manifest,
-                peers,
-                routing,
-                engines,
-                () -> dumpInternals(router)),
+                settings, state, manifest, peers, routing, engines, () -> dumpInternals(router)),
             manifestService,
             this::drain,
             registry);
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HostListPoller.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HostListPoller.java
@@ -66,8 +66,7 @@
             .get("hosts", "current")
             .thenAccept(
                 result -> {
-                  // On a failed read the state of the upstreams stays unchanged until the next
-                  // period.
+                  // A failed read is ignored; the next period reads the list again.
                   if (result instanceof ReadResult.Found found) {
                     reportLeavingHosts(found.object().spec().path("hosts"));
                   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
@@ -22,9 +22,8 @@
   private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(5);
 
   // The default of 50 overflows when the process pauses for a few milliseconds. The kernel then
-  // falls
-  // back to SYN cookies and resets a connection whose second segment arrives before the connection
-  // has been accepted.
+  // falls back to SYN cookies and resets a connection whose second segment arrives before the
+  // connection has been accepted.
   private static final int ACCEPT_QUEUE_SIZE = 1024;
 
   private final SocketAddress address;
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
@@ -174,7 +174,7 @@
   /** Logs the events of the peer node and forwards them to the listeners. */
   private final class PeerNodeEvents implements PeerNodeListener {
     private Set<HostId> knownHosts = new HashSet<>();
-    private Set<RegionId> unreachableRegions = Set.of();
+    private Set<RegionId> loggedUnreachableRegions = Set.of();
 
     @Override
     public void membersChanged(MemberList list) {
@@ -188,16 +188,16 @@
       knownHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, currentHosts.size()));
       knownHosts = currentHosts;
       for (RegionId r : list.unreachableRegions()) {
-        if (!unreachableRegions.contains(r)) {
+        if (!loggedUnreachableRegions.contains(r)) {
           EventLog.log(LogEvent.REGION_UNREACHABLE, r);
         }
       }
-      for (RegionId r : unreachableRegions) {
+      for (RegionId r : loggedUnreachableRegions) {
         if (!list.unreachableRegions().contains(r)) {
           EventLog.log(LogEvent.REGION_REACHABLE, r);
         }
       }
-      unreachableRegions = list.unreachableRegions();
+      loggedUnreachableRegions = list.unreachableRegions();
       notifyListeners(l -> l.membersChanged(list));
     }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Reads the latest manifest. The result is empty if the object service can't be read, and {@link
-   * ManifestRevision#NONE} if nothing was published yet.
+   * Reads the latest manifest. The result is empty if the object service can't be read, and
+   * revision 0 ({@link ManifestRevision#NONE}) if nothing was published yet.
    */
   public CompletableFuture<Optional<ManifestRevision>> read() {
     return store
