--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -17,7 +17,7 @@
 import org.mustardlatch.core.settings.Settings;
 import org.mustardlatch.core.settings.SocketAddress;
 import org.mustardlatch.core.time.TimerService;
-import org.mustardlatch.daemon.node.ManifestInForce;
+import org.mustardlatch.daemon.node.ActiveManifest;
 import org.mustardlatch.daemon.node.Membership;
 import org.mustardlatch.daemon.peer.PeerService;
 import org.mustardlatch.daemon.peer.PeerServiceListener;
@@ -26,32 +26,35 @@
 import org.mustardlatch.wire.PeerNodeOptions;
 import org.mustardlatch.wire.TlsFiles;
 
-/** Connects the peer service with the manifest in force and the routing decisions. */
+/**
+ * Connects the peer service to the active manifest and to routing: received manifests are
+ * activated, and membership changes and peer messages become routing events.
+ */
 final class PeerBinding implements Membership, PeerServiceListener {
   private final PeerService peers;
-  private final ManifestInForce manifest;
-  private final Consumer<RoutingEvent> events;
+  private final ActiveManifest activeManifest;
+  private final Consumer<RoutingEvent> routingEvents;
 
   /**
-   * Creates the peer service; it is not started.
+   * Creates the peer service without starting it.
    *
-   * @param incarnation incarnation of this process
-   * @param events takes members and messages for the routing decisions
+   * @param incarnation initial incarnation of this node
+   * @param routingEvents receives membership changes and peer messages as routing events
    */
   PeerBinding(
       Settings settings,
       long incarnation,
       TimerService timers,
-      ManifestInForce manifest,
-      Consumer<RoutingEvent> events) {
-    this.manifest = manifest;
-    this.events = events;
+      ActiveManifest activeManifest,
+      Consumer<RoutingEvent> routingEvents) {
+    this.activeManifest = activeManifest;
+    this.routingEvents = routingEvents;
     this.peers =
         new PeerService(
-            options(settings, incarnation),
+            peerNodeOptions(settings, incarnation),
             timers,
             RandomGenerator.of("L64X128MixRandom"),
-            this::apply);
+            this::applyManifest);
     peers.addListener(this);
   }
 
@@ -60,7 +63,7 @@
   }
 
   @Override
-  public List<Member> live() {
+  public List<Member> liveMembers() {
     return peers.members().members();
   }
 
@@ -71,28 +74,29 @@
 
   @Override
   public void membersChanged(MemberList list) {
-    events.accept(new RoutingEvent.MembersChanged(list.members()));
+    routingEvents.accept(new RoutingEvent.MembersChanged(list.members()));
   }
 
   @Override
   public void fenced(long incarnation) {
-    events.accept(new RoutingEvent.MembersChanged(live()));
+    routingEvents.accept(new RoutingEvent.MembersChanged(liveMembers()));
   }
 
   @Override
-  public void received(HostId from, long incarnation, PeerMessage message) {
+  public void messageReceived(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
-      case AdmissionMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
-      case EvidenceMessage m -> events.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case AdmissionMessage m ->
+          routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
+      case EvidenceMessage m -> routingEvents.accept(new RoutingEvent.PeerMessageReceived(from, m));
       default -> {
-        // Other listeners take the messages about records; the peer service takes the rest itself.
+        // Ledger messages go to another listener; the peer service handles all others itself.
       }
     }
   }
 
-  private boolean apply(long revision, String text) {
+  private boolean applyManifest(long revision, String text) {
     try {
-      manifest.apply(revision, text);
+      activeManifest.apply(revision, text);
       return true;
     } catch (MustardlatchException e) {
       EventLog.log(LogEvent.MANIFEST_REFUSED, String.valueOf(e.getMessage()));
@@ -100,7 +104,7 @@
     }
   }
 
-  private static PeerNodeOptions options(Settings settings, long incarnation) {
+  private static PeerNodeOptions peerNodeOptions(Settings settings, long incarnation) {
     return new PeerNodeOptions(
         settings.host(),
         settings.region(),
@@ -109,11 +113,11 @@
         new InetSocketAddress(settings.peerAddress().ip(), settings.peerAddress().port()),
         null,
         settings.seeds().stream().map(SocketAddress::toString).toList(),
-        tls(settings.peerSecurity()),
+        tlsFiles(settings.peerSecurity()),
         null);
   }
 
-  private static @Nullable TlsFiles tls(PeerSecurity security) {
+  private static @Nullable TlsFiles tlsFiles(PeerSecurity security) {
     return switch (security) {
       case PeerSecurity.MutualTls t -> new TlsFiles(t.certificate(), t.key(), t.ca());
       case PeerSecurity.Plaintext p -> null;
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
@@ -23,26 +23,27 @@
 import org.mustardlatch.daemon.store.PublishResult;
 
 /**
- * Brings manifests from the object service to the peer service, which puts them into force here and
- * on the other nodes, and publishes new ones. The object service is read at the start until it
- * answers; while it is down the manifest in force stays.
+ * Forwards manifests from the object service to the peer service, which applies them on this node
+ * and distributes them to the other nodes, and publishes new manifests. At startup the object
+ * service is read until a read succeeds. While the object service is unavailable, the active
+ * manifest stays active.
  */
 public final class ManifestService implements ManifestPublisher, PeerServiceListener {
-  private static final Duration READ_RETRY = Duration.ofSeconds(1);
-  private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
-  private static final Duration PUBLISH_BOUND = SETTLE_TIME.plusSeconds(5);
+  private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(1);
+  private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration PUBLISH_TIMEOUT = RESOLVE_TIMEOUT.plusSeconds(5);
 
-  /** Twice the bound of 4 s within which a manifest must be in force everywhere. */
-  private static final Duration ACCEPT_BOUND = Duration.ofSeconds(8);
+  /** Twice the limit of 4 s within which a manifest must be active on all nodes. */
+  private static final Duration ACCEPT_TIMEOUT = Duration.ofSeconds(8);
 
   private final ManifestStore store;
   private final PeerService peers;
   private final TimerService timers;
-  private final RevisionWait accepted = new RevisionWait();
+  private final RevisionLatch acceptedRevision = new RevisionLatch();
   private boolean stopped;
   private @Nullable TimerSubscription watch;
 
-  /** Creates a service that is not started. */
+  /** Creates a service that is not started, and registers it as a listener of the peer service. */
   public ManifestService(ManifestStore store, PeerService peers, TimerService timers) {
     this.store = store;
     this.peers = peers;
@@ -50,7 +51,7 @@
     peers.addListener(this);
   }
 
-  /** Reads the manifest now and again until the object service has answered once. */
+  /** Reads the manifest from the object service and retries until one read has succeeded. */
   public synchronized void start() {
     if (stopped) {
       return;
@@ -61,20 +62,20 @@
             .thenAccept(
                 found ->
                     found.ifPresentOrElse(
-                        this::stored, () -> timers.schedule(READ_RETRY, this::start)));
+                        this::reportStored, () -> timers.schedule(READ_RETRY_DELAY, this::start)));
   }
 
   @Override
-  public synchronized void watchManifest(boolean on) {
-    if (on && watch == null && !stopped) {
-      watch = store.watch(this::stored);
-    } else if (!on && watch != null) {
+  public synchronized void watchManifest(boolean enabled) {
+    if (enabled && watch == null && !stopped) {
+      watch = store.watch(this::reportStored);
+    } else if (!enabled && watch != null) {
       watch.cancel();
       watch = null;
     }
   }
 
-  /** Ends the watch. */
+  /** Cancels the watch and stops retrying reads. */
   public synchronized void stop() {
     stopped = true;
     watchManifest(false);
@@ -82,48 +83,49 @@
 
   @Override
   public void manifestAccepted(long revision) {
-    accepted.reached(revision);
+    acceptedRevision.advanceTo(revision);
   }
 
   @Override
   public long publish(String text, long base) {
-    Manifest offered = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
-    PublishResult result = await(store.publish(base, text, SETTLE_TIME), base);
+    Manifest submitted = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
+    PublishResult result = await(store.publish(base, text, RESOLVE_TIMEOUT), base);
     return switch (result) {
-      case PublishResult.Published p -> spread(p.revision(), text);
+      case PublishResult.Published p -> distribute(p.revision(), text);
       case PublishResult.Conflict c -> {
-        stored(c.other());
+        reportStored(c.latest());
         throw new MustardlatchException(
             ErrorCode.MANIFEST_CONFLICT,
             "revision %d is the latest, not %d; %s"
-                .formatted(c.other().revision(), base, difference(c.other().text(), offered)));
+                .formatted(
+                    c.latest().revision(), base, describeDifference(c.latest().text(), submitted)));
       }
       case PublishResult.Refused r ->
           throw new MustardlatchException(
               ErrorCode.STORE_UNAVAILABLE, "nothing was published: " + r.reason());
-      case PublishResult.Unknown u -> throw unknown(u.revision(), u.reason());
+      case PublishResult.Unknown u -> throw outcomeUnknown(u.revision(), u.reason());
     };
   }
 
-  private long spread(long revision, String text) {
+  private long distribute(long revision, String text) {
     peers.manifestPublished(revision, text);
-    if (!accepted.await(revision, ACCEPT_BOUND)) {
-      throw unknown(revision, "it is stored, but too few nodes have it in force");
+    if (!acceptedRevision.await(revision, ACCEPT_TIMEOUT)) {
+      throw outcomeUnknown(revision, "it is stored, but too few nodes have it in force");
     }
     return revision;
   }
 
-  private void stored(ManifestRevision revision) {
+  private void reportStored(ManifestRevision revision) {
     peers.manifestStored(revision.revision(), revision.text());
   }
 
-  private static String difference(String latest, Manifest offered) {
-    ParseResult<Manifest> result = ManifestParser.parse("latest", latest);
+  private static String describeDifference(String latestText, Manifest submitted) {
+    ParseResult<Manifest> result = ManifestParser.parse("latest", latestText);
     if (!result.isValid()) {
       return "it can't be read";
     }
-    Manifest before = result.orThrow(ErrorCode.MANIFEST_INVALID);
-    List<ManifestDiff.Change> changes = ManifestDiff.compare(before, offered).changes();
+    Manifest latest = result.orThrow(ErrorCode.MANIFEST_INVALID);
+    List<ManifestDiff.Change> changes = ManifestDiff.compare(latest, submitted).changes();
     if (changes.isEmpty()) {
       return "it already has the content of the offered manifest";
     }
@@ -132,7 +134,7 @@
         .collect(Collectors.joining("\n", "the offered manifest differs from it by:\n", ""));
   }
 
-  private static MustardlatchException unknown(long revision, String reason) {
+  private static MustardlatchException outcomeUnknown(long revision, String reason) {
     return new MustardlatchException(
         ErrorCode.MANIFEST_UNKNOWN,
         "revision %d may be published (%s); run \"mustardlatch status\""
@@ -141,7 +143,7 @@
 
   private static PublishResult await(CompletableFuture<PublishResult> result, long base) {
     try {
-      return result.get(PUBLISH_BOUND.toMillis(), TimeUnit.MILLISECONDS);
+      return result.get(PUBLISH_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       return new PublishResult.Unknown(base + 1, e.toString());
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
@@ -14,7 +14,10 @@
 import org.mustardlatch.core.time.TimerService;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** One watch, opened again after each failure. */
+/**
+ * Watch of one object. The watch is reopened after each failure, from the last received version,
+ * until it is cancelled.
+ */
 final class ObjectWatch implements TimerSubscription, Callback {
   private final OkHttpClient http;
   private final HttpUrl url;
@@ -22,7 +25,7 @@
   private final ObjectStoreTimeouts timeouts;
   private final TimerService timers;
   private final Consumer<StoredObject> listener;
-  private volatile String version = "0";
+  private volatile String lastVersion = "0";
   private volatile boolean cancelled;
   private volatile @Nullable Call call;
 
@@ -48,7 +51,7 @@
     HttpUrl watchUrl =
         url.newBuilder()
             .addQueryParameter("watch", "true")
-            .addQueryParameter("resourceVersion", version)
+            .addQueryParameter("resourceVersion", lastVersion)
             .build();
     Call next = http.newCall(new Request.Builder().url(watchUrl).build());
     call = next;
@@ -69,19 +72,19 @@
 
   @Override
   public void onFailure(Call failed, IOException e) {
-    reopenLater();
+    scheduleReopen();
   }
 
   @Override
-  public void onResponse(Call answered, Response response) {
+  public void onResponse(Call completed, Response response) {
     try (response) {
       if (response.code() == 200) {
         readLines(response.body().source());
       }
     } catch (IOException e) {
-      // The connection broke or went silent; opening it again is the remedy for both.
+      // The connection failed or was idle for too long. In both cases the watch is reopened below.
     } finally {
-      reopenLater();
+      scheduleReopen();
     }
   }
 
@@ -91,16 +94,16 @@
       JsonNode event = ObjectStoreClient.JSON.readTree(line);
       if (event.has("object")) {
         StoredObject object = ObjectStoreClient.toObject(name, event.path("object"));
-        version = object.version();
+        lastVersion = object.version();
         listener.accept(object);
       }
       line = source.readUtf8Line();
     }
   }
 
-  private void reopenLater() {
+  private void scheduleReopen() {
     if (!cancelled) {
-      timers.schedule(timeouts.watchRetry(), this::open);
+      timers.schedule(timeouts.watchRetryDelay(), this::open);
     }
   }
 }
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
@@ -5,23 +5,26 @@
 import org.mustardlatch.core.time.TimerService;
 
 /**
- * One attempt to publish a manifest: read, conditional update, and reading back after a lost
- * answer.
+ * Operation that publishes one manifest: a read, a conditional update, and a read back if the
+ * response to the update is lost.
  *
- * <p>A lost update may still be applied while the version that it names is the current one.
- * Therefore a read that shows the old version settles nothing, and the update is sent again on that
- * version: whichever of the two is applied makes the other fail.
+ * <p>An update whose response was lost may still be applied as long as the version on which it is
+ * conditional is the current one. A read that returns the old version therefore does not prove that
+ * the update failed. The update is sent again on the same version: at most one of the two can be
+ * applied, because it changes the version and makes the other one fail.
  */
 final class Publication {
-  private static final Duration PAUSE = Duration.ofMillis(100);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
   private final ObjectStoreClient store;
   private final TimerService timers;
   private final long base;
   private final String text;
   private final String nonce;
-  private final long giveUpNanos;
-  private volatile boolean ambiguous;
+  private final long deadlineNanos;
+
+  /** Whether the response to an update was lost, so that the manifest may have been stored. */
+  private volatile boolean outcomeAmbiguous;
 
   Publication(
       ObjectStoreClient store,
@@ -29,13 +32,13 @@
       long base,
       String text,
       String nonce,
-      long giveUpNanos) {
+      long deadlineNanos) {
     this.store = store;
     this.timers = timers;
     this.base = base;
     this.text = text;
     this.nonce = nonce;
-    this.giveUpNanos = giveUpNanos;
+    this.deadlineNanos = deadlineNanos;
   }
 
   CompletableFuture<PublishResult> run() {
@@ -52,7 +55,7 @@
   }
 
   private CompletableFuture<PublishResult> decide(String version, ManifestObject found) {
-    if (found.writers().contains(nonce)) {
+    if (found.publisherNonces().contains(nonce)) {
       return completed(new PublishResult.Published(base + 1));
     }
     if (found.current().revision() != base) {
@@ -63,7 +66,7 @@
 
   private CompletableFuture<PublishResult> write(String version, ManifestObject found) {
     return store
-        .put("manifests", "current", version, found.next(text, nonce).toSpec())
+        .put("manifests", "current", version, found.nextRevision(text, nonce).toSpec())
         .thenCompose(
             written ->
                 switch (written) {
@@ -71,24 +74,24 @@
                   case WriteResult.Conflict c -> retry("conflicting update");
                   case WriteResult.Refused r -> failed("update refused: " + r.reason());
                   case WriteResult.Unknown u -> {
-                    ambiguous = true;
+                    outcomeAmbiguous = true;
                     yield retry("answer to the update lost: " + u.reason());
                   }
                 });
   }
 
   private CompletableFuture<PublishResult> failed(String reason) {
-    return ambiguous ? retry(reason) : completed(new PublishResult.Refused(reason));
+    return outcomeAmbiguous ? retry(reason) : completed(new PublishResult.Refused(reason));
   }
 
   private CompletableFuture<PublishResult> retry(String reason) {
-    if (timers.nanos() < giveUpNanos) {
+    if (timers.nanos() < deadlineNanos) {
       CompletableFuture<Boolean> paused = new CompletableFuture<>();
-      timers.schedule(PAUSE, () -> paused.complete(true));
+      timers.schedule(RETRY_DELAY, () -> paused.complete(true));
       return paused.thenCompose(p -> run());
     }
     return completed(
-        ambiguous
+        outcomeAmbiguous
             ? new PublishResult.Unknown(base + 1, reason)
             : new PublishResult.Refused(reason));
   }
--- a/daemon/src/test/java/org/mustardlatch/daemon/Fleet.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/InProcessFleet.java
@@ -13,23 +13,29 @@
 import org.mustardlatch.standin.EngineStandin;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** A daemon with stand-in engines inside the test's process, on loopback ports chosen at start. */
-final class Fleet implements AutoCloseable {
-  static final String KEY = "demo-key";
-  static final String KEY_SHA256 =
+/**
+ * Daemon, stand-in engines and stand-in object service inside the test process, on loopback ports
+ * chosen at startup.
+ */
+final class InProcessFleet implements AutoCloseable {
+  static final String API_KEY = "demo-key";
+  static final String API_KEY_SHA256 =
       "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c";
 
-  /** The rate of the manifest; far below what the stand-ins do, so that no prediction is tight. */
-  private static final int NOMINAL_PREFILL_RATE = 100_000;
+  /**
+   * Prefill rate in the manifest. It is far below the actual rate of the stand-ins, so that
+   * predicted times have a large margin.
+   */
+  private static final int PREFILL_TOKENS_PER_SECOND = 100_000;
 
   private final List<EngineStandin> engines = new ArrayList<>();
   private final StringBuilder upstreams = new StringBuilder();
   private final ObjectServiceStandin store = new ObjectServiceStandin();
   private final Daemon daemon;
 
-  Fleet(EngineOptions... options) {
+  InProcessFleet(EngineOptions... options) {
     for (EngineOptions option : options) {
-      add(option);
+      addEngine(option);
     }
     store.start(0);
     daemon = new Daemon(settings("entry-1", store.url(), 0));
@@ -38,17 +44,17 @@
     Await.until(
         "ready",
         Duration.ofSeconds(5),
-        () -> HttpCalls.get(operatorUrl("/readyz")).status() == 200);
+        () -> TestHttpClient.get(operatorUrl("/readyz")).status() == 200);
   }
 
-  /** Starts a second daemon with the same object service; the caller stops it. */
+  /** Starts a further daemon with the same object service. The test must stop it. */
   Daemon startAnother(String host, int drainDelayMillis) {
     Daemon other = new Daemon(settings(host, store.url(), drainDelayMillis));
     other.start();
     Await.until(
         host + " ready",
         Duration.ofSeconds(5),
-        () -> HttpCalls.get(url(other.operatorPort(), "/readyz")).status() == 200);
+        () -> TestHttpClient.get(url(other.operatorPort(), "/readyz")).status() == 200);
     return other;
   }
 
@@ -56,23 +62,26 @@
     return URI.create("http://127.0.0.1:" + port + path);
   }
 
-  /** Sends a completion request through a daemon. */
-  static HttpCalls.Answer complete(int port, String prompt, int tokens, boolean stream) {
-    return HttpCalls.post(
-        url(port, "/v1/completions"), body(prompt, tokens, stream), "application/json");
+  /** Sends a completion request to the daemon with the given caller port. */
+  static TestHttpClient.Response complete(int port, String prompt, int tokens, boolean stream) {
+    return TestHttpClient.post(
+        url(port, "/v1/completions"), completionBody(prompt, tokens, stream), "application/json");
   }
 
-  static String body(String prompt, int tokens, boolean stream) {
+  static String completionBody(String prompt, int tokens, boolean stream) {
     return "{\"model\":\"wording\",\"prompt\":\"%s\",\"max_tokens\":%d,\"stream\":%b}"
         .formatted(prompt, tokens, stream);
   }
 
-  /** Publishes the engines together with more manifest text. */
-  void publish(String more) {
-    publishText(manifest() + more);
+  /** Publishes a manifest of the engines, followed by additional manifest text. */
+  void publish(String additionalText) {
+    publishText(manifest() + additionalText);
   }
 
-  /** Returns manifest text of the routes to an application service: one keyed, one for look-ups. */
+  /**
+   * Returns manifest text with two routes to an application service: one that requires an
+   * idempotency key and one for idempotent look-ups.
+   */
   static String orderRoutes(URI service) {
     return """
         [[upstream]]
@@ -93,16 +102,18 @@
         .formatted(service);
   }
 
-  /** Publishes the engines with a rate for the workspace, requests per second. */
-  void publishLimited(double rate) {
+  /**
+   * Publishes a manifest of the engines that limits the workspace to a rate in requests per second.
+   */
+  void publishWithRateLimit(double rate) {
     publishText(manifest().replace("[[model]]", "requests_per_second = " + rate + "\n[[model]]"));
   }
 
   private void publishText(String text) {
-    String base = HttpCalls.get(operatorUrl("/status")).json().path("revision").asText();
-    HttpCalls.Answer answer =
-        HttpCalls.post(operatorUrl("/manifest?base=" + base), text, "application/toml");
-    assertThat(answer.toString()).startsWith("200 ");
+    String base = TestHttpClient.get(operatorUrl("/status")).json().path("revision").asText();
+    TestHttpClient.Response response =
+        TestHttpClient.post(operatorUrl("/manifest?base=" + base), text, "application/toml");
+    assertThat(response.toString()).startsWith("200 ");
   }
 
   EngineStandin engine(int index) {
@@ -125,10 +136,10 @@
     return url(daemon.operatorPort(), path);
   }
 
-  void awaitNothingAllocated(Duration bound) {
+  void awaitNoAllocations(Duration timeout) {
     Await.until(
-        "engines hold nothing",
-        bound,
+        "engines have no allocations",
+        timeout,
         () -> engines.stream().allMatch(e -> e.allocations().isEmpty()));
   }
 
@@ -139,7 +150,7 @@
     store.close();
   }
 
-  private void add(EngineOptions options) {
+  private void addEngine(EngineOptions options) {
     EngineStandin engine = new EngineStandin(options);
     engine.start();
     engines.add(engine);
@@ -157,7 +168,7 @@
         """
             .formatted(options.name(), options.role(), engine.url(), options.slots()));
     if (!options.role().equals("decode")) {
-      upstreams.append("prefill_tokens_per_second = " + NOMINAL_PREFILL_RATE + "\n");
+      upstreams.append("prefill_tokens_per_second = " + PREFILL_TOKENS_PER_SECOND + "\n");
     }
   }
 
@@ -178,7 +189,7 @@
     token_gap_target_ms = 68
     %s
     """
-        .formatted(KEY_SHA256, upstreams);
+        .formatted(API_KEY_SHA256, upstreams);
   }
 
   static Settings settings(String host, String store, int drainDelayMillis) {
--- a/daemon/src/test/java/org/mustardlatch/daemon/PlatformListsTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ObjectServiceListsTest.java
@@ -10,10 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.standin.EngineOptions;
 
-/** Guards against a host list that nobody reads and nodes that can join by seeds only. */
-class PlatformListsTest {
-  private final Fleet fleet =
-      new Fleet(
+/**
+ * Guards against two faults in the use of object service lists: the host list is not read, so that
+ * leaving hosts get new work, or the node list is not read, so that nodes can join only by seeds.
+ */
+class ObjectServiceListsTest {
+  private final InProcessFleet fleet =
+      new InProcessFleet(
           EngineOptions.fast("prefill-1", "prefill"),
           EngineOptions.fast("decode-1", "decode"),
           EngineOptions.fast("decode-2", "decode"));
@@ -34,27 +37,28 @@
     URI object = URI.create(fleet.store().url() + "/apis/mustardlatch.org/v1/hosts/current");
     HttpRequest put =
         HttpRequest.newBuilder(object).PUT(HttpRequest.BodyPublishers.ofString(list)).build();
-    assertThat(HttpCalls.send(put).status()).isAnyOf(200, 201);
+    assertThat(TestHttpClient.send(put).status()).isAnyOf(200, 201);
     Await.until("five seconds passed", Duration.ofSeconds(10), elapsed(Duration.ofSeconds(5)));
     for (int i = 0; i < 20; i++) {
-      HttpCalls.Answer answer = Fleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
-      String id = answer.header("x-request-id");
-      String explained = HttpCalls.get(fleet.operatorUrl("/explain/" + id)).body();
+      TestHttpClient.Response response =
+          InProcessFleet.complete(fleet.daemon().callerPort(), "names " + i, 2, false);
+      String id = response.header("x-request-id");
+      String explained = TestHttpClient.get(fleet.operatorUrl("/explain/" + id)).body();
       assertThat(explained).contains("decode=decode-2");
       assertThat(explained).doesNotContain("decode=decode-1");
     }
   }
 
   @Test
-  void nodesWithoutSeedsMeetThroughTheObjectService() {
+  void nodesWithoutSeedsDiscoverEachOtherThroughTheObjectService() {
     Daemon other = fleet.startAnother("entry-2", 0);
     try {
       Await.until(
           "two members",
           Duration.ofSeconds(30),
           () ->
-              HttpCalls.get(fleet.operatorUrl("/status")).json().path("members").size() == 2
-                  && HttpCalls.get(Fleet.url(other.operatorPort(), "/status"))
+              TestHttpClient.get(fleet.operatorUrl("/status")).json().path("members").size() == 2
+                  && TestHttpClient.get(InProcessFleet.url(other.operatorPort(), "/status"))
                           .json()
                           .path("members")
                           .size()
@@ -65,7 +69,7 @@
   }
 
   private static BooleanSupplier elapsed(Duration duration) {
-    long end = System.nanoTime() + duration.toNanos();
-    return () -> System.nanoTime() - end >= 0;
+    long endNanos = System.nanoTime() + duration.toNanos();
+    return () -> System.nanoTime() - endNanos >= 0;
   }
 }
--- a/daemon/src/test/java/org/mustardlatch/daemon/HttpCalls.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/TestHttpClient.java
@@ -15,19 +15,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** HTTP calls of a caller, by the client of the JDK so that client and daemon share no code. */
-final class HttpCalls {
+/**
+ * HTTP client for tests. It is based on the JDK client, so that it shares no code with the daemon.
+ */
+final class TestHttpClient {
   private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private HttpCalls() {}
+  private TestHttpClient() {}
 
-  static Answer get(URI url) {
+  static Response get(URI url) {
     return send(request(url).GET().build());
   }
 
-  static Answer post(URI url, String body, String type, String... headers) {
+  static Response post(URI url, String body, String type, String... headers) {
     HttpRequest.Builder request =
         request(url).header("Content-Type", type).POST(BodyPublishers.ofString(body));
     return send(headers.length == 0 ? request.build() : request.headers(headers).build());
@@ -36,13 +38,13 @@
   static HttpRequest.Builder request(URI url) {
     return HttpRequest.newBuilder(url)
         .timeout(Duration.ofSeconds(20))
-        .header("Authorization", "Bearer " + Fleet.KEY);
+        .header("Authorization", "Bearer " + InProcessFleet.API_KEY);
   }
 
-  static Answer send(HttpRequest request) {
+  static Response send(HttpRequest request) {
     try {
       HttpResponse<String> response = CLIENT.send(request, BodyHandlers.ofString());
-      return new Answer(response.statusCode(), response.headers().map(), response.body());
+      return new Response(response.statusCode(), response.headers().map(), response.body());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     } catch (InterruptedException e) {
@@ -58,14 +60,14 @@
     }
   }
 
-  /** An answer with its body as text. */
-  record Answer(int status, Map<String, List<String>> headers, String body) {
+  /** HTTP response with its body as text. */
+  record Response(int status, Map<String, List<String>> headers, String body) {
     JsonNode json() {
       return parse(body);
     }
 
-    /** Returns the text of a stream of completions or of a whole completion. */
-    String text() {
+    /** Returns the generated text of a streamed or non-streamed completion. */
+    String generatedText() {
       if (!body.startsWith("data: ")) {
         return json().path("choices").path(0).path("text").asText();
       }
@@ -77,11 +79,13 @@
       return text.toString();
     }
 
+    /** Returns the first value of a header, or an empty string if the header is missing. */
     String header(String name) {
       return headers.getOrDefault(name, List.of("")).get(0);
     }
 
-    String code() {
+    /** Returns the code of an error response, or an empty string. */
+    String errorCode() {
       return json().path("error").path("code").asText();
     }
 
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
@@ -18,7 +18,10 @@
 import org.mustardlatch.standin.ObjectServiceFaults;
 import org.mustardlatch.standin.ObjectServiceStandin;
 
-/** Guards against wrong conclusions from the answers, or missing answers, of the object service. */
+/**
+ * Guards against wrong results for responses of the object service, and for responses that are lost
+ * or late.
+ */
 class ObjectStoreClientTest {
   private static final ObjectStoreTimeouts TIMEOUTS =
       new ObjectStoreTimeouts(
@@ -44,7 +47,7 @@
   }
 
   @Test
-  void createsReadsAndUpdatesOnConditionOfTheVersion() throws Exception {
+  void createsReadsAndUpdatesConditionallyOnTheVersion() throws Exception {
     assertThat(read()).isInstanceOf(ReadResult.NotFound.class);
     String first = ((WriteResult.Stored) write("", "a")).version();
     String second = ((WriteResult.Stored) write(first, "b")).version();
@@ -53,7 +56,7 @@
   }
 
   @Test
-  void updateOfAnOldVersionAndSecondCreateConflict() throws Exception {
+  void staleUpdateAndSecondCreateConflict() throws Exception {
     String first = ((WriteResult.Stored) write("", "a")).version();
     write(first, "b");
     assertThat(write(first, "c")).isEqualTo(new WriteResult.Conflict());
@@ -61,7 +64,7 @@
   }
 
   @Test
-  void lostAnswerOfAnAppliedUpdateIsUnknownAndNotSentTwice() throws Exception {
+  void updateWithALostResponseIsUnknownAndNotSentTwice() throws Exception {
     standin.setFaults(ObjectServiceFaults.lostAnswers(1));
     assertThat(write("", "a")).isInstanceOf(WriteResult.Unknown.class);
     assertThat(read()).isInstanceOf(ReadResult.Found.class);
@@ -69,27 +72,28 @@
   }
 
   @Test
-  void serviceThatClosesConnectionsMakesAnUpdateUnknownAndAReadFail() throws Exception {
+  void closedConnectionsMakeAnUpdateUnknownAndAReadFail() throws Exception {
     standin.setFaults(ObjectServiceFaults.DOWN);
     assertThat(write("", "a")).isInstanceOf(WriteResult.Unknown.class);
     assertThat(read()).isInstanceOf(ReadResult.Failed.class);
   }
 
   @Test
-  void updateThatNeverLeftTheProcessIsRefused() throws Exception {
+  void updateThatWasNeverSentIsRefused() throws Exception {
     standin.close();
     assertThat(write("", "a")).isInstanceOf(WriteResult.Refused.class);
   }
 
   @Test
   void updateSlowerThanTheTimeoutIsUnknownAndMayBeAppliedLater() throws Exception {
-    ObjectStoreTimeouts hasty =
+    ObjectStoreTimeouts shortTimeouts =
         new ObjectStoreTimeouts(
             Duration.ofSeconds(5), Duration.ofMillis(300), Duration.ofSeconds(5), Duration.ZERO);
     standin.setFaults(ObjectServiceFaults.slow(900));
     BlockingQueue<StoredObject> seen = new LinkedBlockingQueue<>();
     TimerSubscription watch = client.watch("test", "one", seen::add);
-    try (ObjectStoreClient slow = new ObjectStoreClient(URI.create(standin.url()), hasty, timers)) {
+    try (ObjectStoreClient slow =
+        new ObjectStoreClient(URI.create(standin.url()), shortTimeouts, timers)) {
       assertThat(get(slow.put("test", "one", "", text("late"))))
           .isInstanceOf(WriteResult.Unknown.class);
       assertThat(seen.poll(10, TimeUnit.SECONDS).spec()).isEqualTo(text("late"));
@@ -98,7 +102,7 @@
   }
 
   @Test
-  void rateLimitIsADefiniteRefusalWithItsWaitingTime() throws Exception {
+  void rateLimitedUpdateIsRefusedWithItsRetryAfter() throws Exception {
     standin.setFaults(ObjectServiceFaults.limited(1, 0));
     WriteResult last = write("", "a");
     for (int i = 0; i < 5 && !(last instanceof WriteResult.Refused); i++) {
@@ -108,7 +112,7 @@
   }
 
   @Test
-  void tooLargeObjectIsRefusedAsTooLarge() throws Exception {
+  void oversizedObjectIsRefusedAsTooLarge() throws Exception {
     WriteResult result = write("", "x".repeat(ObjectServiceStandin.MAX_OBJECT_BYTES));
     assertThat(result).isEqualTo(new WriteResult.Refused("status 413", true, Duration.ZERO));
   }
