--- a/cli/src/main/java/org/mustardlatch/cli/CommandException.java
+++ b/cli/src/main/java/org/mustardlatch/cli/CommandException.java
@@ -11,6 +11,15 @@
   private final String remedy;
   private final int exitCode;
 
+  /**
+   * Creates an exception.
+   *
+   * @param code stable code of the error; a daemon's code if the daemon returned the error
+   * @param location what the error concerns, for example a file, a URL or an option
+   * @param message description of the error
+   * @param remedy how to correct the error
+   * @param exitCode one of {@link ExitCode}
+   */
   CommandException(String code, String location, String message, String remedy, int exitCode) {
     super(message);
     this.code = code;
--- a/cli/src/main/java/org/mustardlatch/cli/DocumentCommand.java
+++ b/cli/src/main/java/org/mustardlatch/cli/DocumentCommand.java
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Prints the routing decisions about one request. */
+  /** Prints the routing decisions that a daemon has recorded about one request. */
   public static final class Explain extends DocumentCommand {
     @Argument(required = true, metaVar = "REQUEST-ID", usage = "value of X-Request-Id")
     String requestId = "";
--- a/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
+++ b/cli/src/main/java/org/mustardlatch/cli/OperatorClient.java
@@ -26,8 +26,8 @@
   private final OkHttpClient http =
       new OkHttpClient.Builder().callTimeout(TIMEOUT).retryOnConnectionFailure(false).build();
 
-  OperatorClient(String node) {
-    this.nodeUrl = node;
+  OperatorClient(String nodeUrl) {
+    this.nodeUrl = nodeUrl;
   }
 
   /**
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Converts an error response, whose body may be no JSON, to an exception. */
+  /** Converts an error response, whose body may not be JSON, to an exception. */
   private static CommandException toException(Request request, int status, String body) {
     JsonNode error;
     try {
--- a/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
+++ b/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
@@ -3,8 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An error with a stable {@link ErrorCode}. Every error that is returned to a caller or an operator
- * is of this type.
+ * An error with a stable {@link ErrorCode}, which is returned to a caller or an operator.
  */
 public class MustardlatchException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/core/src/main/java/org/mustardlatch/core/manifest/Limits.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Limits.java
@@ -1,7 +1,8 @@
 package org.mustardlatch.core.manifest;
 
 /**
- * Budgets for retries and hedged requests over the whole fleet.
+ * Budgets for retries and hedged requests. Each node applies them to the requests that it receives
+ * itself.
  *
  * @param retryBudgetFraction retries allowed per first attempt, 0 to 1
  * @param hedgeBudgetFraction hedged requests allowed per request, 0 to 1
--- a/core/src/main/java/org/mustardlatch/core/manifest/Manifest.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Manifest.java
@@ -8,8 +8,9 @@
 import org.mustardlatch.core.model.ZoneId;
 
 /**
- * A manifest, the description of a deployment that operators publish to the fleet. Instances from
- * {@link ManifestParser} are validated: all references between entries resolve. Immutable.
+ * A manifest, the description of a deployment. Operators of daemons publish it to the fleet as a
+ * TOML file; the gateway builds it from its configuration and the registered engines. Instances
+ * from {@link ManifestParser} are validated: all references between entries resolve. Immutable.
  *
  * @param name name of the deployment
  * @param objective objective of the routing policy
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestDiff.java
@@ -26,7 +26,8 @@
   }
 
   /**
-   * One entry that differs. The string form shows the entries in full.
+   * One entry that differs. The string form, which operators see, shows the entries in full, with
+   * the component names of their record types.
    *
    * @param kind kind of the difference
    * @param entry table and name, for example {@code upstream decode-1}
--- a/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/ManifestParser.java
@@ -23,7 +23,10 @@
  * deployment pipeline shows them in one run.
  */
 public final class ManifestParser {
-  /** Size limit of a manifest in the object service, bytes. */
+  /**
+   * Size limit of a manifest in the object service, bytes. {@link #parse} compares it with the
+   * number of characters.
+   */
   public static final int MAX_BYTES = 1_000_000;
 
   private static final long MAX_LINK_BYTES_PER_SECOND = 1_000_000_000_000L;
--- a/core/src/main/java/org/mustardlatch/core/manifest/Model.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Model.java
@@ -11,8 +11,10 @@
  * @param tokenGapTarget target for the time between two tokens
  * @param maxPromptTokens length of the longest accepted prompt, tokens
  * @param kvBytesPerToken size of the KV cache of one prompt token, bytes
- * @param memoryPieceTokens size of the pieces in which engines allocate KV cache memory, tokens
- * @param reservable whether engines can reserve a slot and memory before a request is sent
+ * @param memoryPieceTokens size of the pieces (blocks) in which engines allocate KV cache memory,
+ *     in tokens; not part of the TOML form
+ * @param reservable whether engines can reserve a slot and memory before a request is sent; not
+ *     part of the TOML form
  */
 public record Model(
     ModelId id,
--- a/core/src/main/java/org/mustardlatch/core/manifest/UpstreamRole.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/UpstreamRole.java
@@ -10,7 +10,7 @@
   MIXED,
   /**
    * A decode engine that can also process prompts, but only those of requests that it decodes
-   * itself.
+   * itself. The gateway sets this role; the TOML form of a manifest has no value for it.
    */
   DECODE_WITH_PROMPT,
   /** An application service, which runs no model. */
--- a/core/src/main/java/org/mustardlatch/core/manifest/Workspace.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/Workspace.java
@@ -9,8 +9,10 @@
  * @param id name of the workspace
  * @param apiKeysSha256 SHA-256 digests of the API keys of the workspace, lower-case hexadecimal
  * @param weight weight in fair queueing relative to other workspaces, greater than 0
- * @param requestsPerSecond rate limit over the whole fleet, requests per second
- * @param maxConcurrent limit of concurrent requests over the whole fleet
+ * @param requestsPerSecond rate limit over the whole fleet, requests per second; 1,000,000 or more
+ *     means no limit
+ * @param maxConcurrent limit of concurrent requests; each daemon applies it to the requests that it
+ *     receives itself
  */
 public record Workspace(
     WorkspaceId id,
--- a/core/src/main/java/org/mustardlatch/core/manifest/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/manifest/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The manifest, the description of a deployment that operators publish, as immutable values, with
- * its parser and its comparison.
+ * The manifest, the description of a deployment, as immutable values, with the parser of its TOML
+ * form and its comparison.
  */
 @NullMarked
 package org.mustardlatch.core.manifest;
--- a/core/src/main/java/org/mustardlatch/core/model/Fingerprint.java
+++ b/core/src/main/java/org/mustardlatch/core/model/Fingerprint.java
@@ -1,8 +1,9 @@
 package org.mustardlatch.core.model;
 
 /**
- * SHA-256 digest of the content of a generation request: model, prompt and sampling parameters, but
- * not the request id. Requests with the same content have the same fingerprint on every node.
+ * SHA-256 digest of the content of a generation request, without the request id. A daemon computes
+ * it from the model, the prompt and the sampling parameters, a gateway from the request target and
+ * the body. Requests with the same content have the same fingerprint on every node.
  *
  * @param value 64 lower-case hexadecimal digits
  */
--- a/core/src/main/java/org/mustardlatch/core/model/HostId.java
+++ b/core/src/main/java/org/mustardlatch/core/model/HostId.java
@@ -1,7 +1,7 @@
 package org.mustardlatch.core.model;
 
 /**
- * Name of a host, a machine that runs a daemon or an upstream.
+ * Name of a host. It also identifies the node, the daemon or gateway process, on that host.
  *
  * @param value 1 to 63 characters: lower-case letters, digits, dots, underscores and hyphens; the
  *     first is a letter or a digit
--- a/core/src/main/java/org/mustardlatch/core/model/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Value types for the names of hosts, regions, zones, workspaces, upstreams, models and requests.
- * Constructors reject invalid names.
+ * Value types for the names of hosts, regions, zones, workspaces, upstreams, models and requests,
+ * and for attempts and content fingerprints. Constructors reject invalid values.
  */
 @NullMarked
 package org.mustardlatch.core.model;
--- a/core/src/main/java/org/mustardlatch/core/time/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/time/package-info.java
@@ -1,4 +1,4 @@
-/** Monotonic clocks and timer services, real and virtual. */
+/** Interfaces of the monotonic clock and the timer service, and a timer service in virtual time. */
 @NullMarked
 package org.mustardlatch.core.time;
 
--- a/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
+++ b/core/src/main/java/org/mustardlatch/core/toml/TomlSection.java
@@ -118,13 +118,23 @@
     return defaultValue;
   }
 
-  /** Reads a required string and converts it; returns null after a finding. */
+  /**
+   * Reads a required string and converts it; returns null after a finding.
+   *
+   * @param conversion throws {@link IllegalArgumentException} for an invalid value, which adds a
+   *     finding with the message of the exception
+   */
   public <T> @Nullable T required(String key, Function<String, T> conversion) {
     String text = requiredString(key);
     return has(key) ? convert(key, text, conversion) : null;
   }
 
-  /** Reads a string and converts it; returns null if the key is absent or after a finding. */
+  /**
+   * Reads a string and converts it; returns null if the key is absent or after a finding.
+   *
+   * @param conversion throws {@link IllegalArgumentException} for an invalid value, as in {@link
+   *     #required}
+   */
   public <T> @Nullable T optional(String key, Function<String, T> conversion) {
     String text = string(key, "");
     return has(key) ? convert(key, text, conversion) : null;
@@ -236,7 +246,7 @@
     }
   }
 
-  /** Returns the value of a key, or null if it is absent, and records the key as known. */
+  /** Returns the value of a key, or null if it is absent, and records the key as read. */
   private @Nullable Object readValue(String key) {
     readKeys.add(key);
     return table.get(List.of(key));
