--- a/wire/src/main/java/org/mustardlatch/wire/Compression.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Compression.java
@@ -11,14 +11,20 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** Compresses manifests with gzip; their entries are similar to each other. */
+/**
+ * Compresses and decompresses the text of manifests with gzip, which is effective because the
+ * entries of a manifest are similar to each other. Thread-safe.
+ */
 final class Compression {
   /** Limits the expansion of a small frame; four times the largest value of the object service. */
   static final int MAX_TEXT_BYTES = 4_000_000;
 
   private record CompressedText(String text, ByteString gzip) {}
 
-  /** Caches the active manifest, because up to 16 neighbours fetch it at the same time. */
+  /**
+   * Last compressed text, normally the active manifest. Cached because up to 16 neighbours fetch it
+   * at the same time.
+   */
   private static volatile CompressedText lastCompressed =
       new CompressedText("", compressUncached(""));
 
--- a/wire/src/main/java/org/mustardlatch/wire/EvidenceDeduplicator.java
+++ b/wire/src/main/java/org/mustardlatch/wire/EvidenceDeduplicator.java
@@ -6,14 +6,20 @@
 import java.util.Map;
 import org.mustardlatch.core.peer.EvidenceMessage;
 
-/** Remembers recent evidence, so that each node forwards a message only once. */
+/**
+ * Remembers recent evidence, so that each node forwards a message only once. Called by the tasks of
+ * {@link PeerNode} only.
+ */
 final class EvidenceDeduplicator {
   static final long RETENTION_NANOS = Duration.ofSeconds(60).toNanos();
   static final int MAX_ENTRIES = 4_096;
 
   private final Map<EvidenceMessage, Long> receivedAt = new LinkedHashMap<>();
 
-  /** Returns whether the message is new and remembers a new message for 60 s. */
+  /**
+   * Returns whether the message is new and remembers a new message for 60 s. Drops the oldest
+   * message earlier if there are {@link #MAX_ENTRIES}.
+   */
   boolean addIfNew(EvidenceMessage message, long now) {
     Iterator<Map.Entry<EvidenceMessage, Long>> oldest = receivedAt.entrySet().iterator();
     while (oldest.hasNext()) {
--- a/wire/src/main/java/org/mustardlatch/wire/Link.java
+++ b/wire/src/main/java/org/mustardlatch/wire/Link.java
@@ -6,7 +6,8 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /**
- * Outbound queue and current connection of one peer. Queues messages while there is no writable
+ * Outbound queue and current connection of one peer, identified by its host or by an address such
+ * as that of a seed. Used by {@link PeerTransport}. Queues messages while there is no writable
  * connection and reconnects with backoff. Thread-safe.
  */
 final class Link {
@@ -45,7 +46,11 @@
     return queue.size();
   }
 
-  /** Sends or queues a message and opens a connection if there is none. */
+  /**
+   * Sends or queues a message and opens a connection if there is none.
+   *
+   * @param newAddress address for new connections from now on; null to keep the earlier address
+   */
   synchronized void send(@Nullable String newAddress, PeerMessage message) {
     if (newAddress != null) {
       address = newAddress;
@@ -68,7 +73,7 @@
     dropExpired();
     PeerChannel c = currentChannel;
     if (c == null) {
-      connectAfterBackoff();
+      connectIfBackoffPassed();
       return;
     }
     while (!queue.isEmpty() && c.isWritable()) {
@@ -83,7 +88,10 @@
     }
   }
 
-  /** Makes this connection the current one; the newest connection replaces an earlier one. */
+  /**
+   * Sends over this connection from now on. An earlier connection is not closed, so that its peer
+   * can still send over it.
+   */
   synchronized void attach(PeerChannel channel) {
     currentChannel = channel;
     connecting = false;
@@ -91,7 +99,10 @@
     flushOrConnect();
   }
 
-  /** Handles the refusal of a connection of this link and starts the backoff. */
+  /**
+   * Starts the backoff because this node refused a connection that the link opened, for example
+   * because of the certificate of the peer.
+   */
   synchronized void connectionRefused(PeerChannel channel) {
     if (currentChannel == channel) {
       currentChannel = null;
@@ -109,6 +120,10 @@
     retryAtNanos = System.nanoTime() + transport.jitteredBackoff(backoff);
   }
 
+  /**
+   * Handles the end of a connection. A connection that the link opened and that closed before it
+   * was ready counts as a failed attempt.
+   */
   synchronized void connectionClosed(PeerChannel channel, boolean openedByLink) {
     if (currentChannel == channel) {
       currentChannel = null;
@@ -126,11 +141,11 @@
       currentChannel = null;
       consecutiveSilences++;
       retryAtNanos = System.nanoTime();
-      connectAfterBackoff();
+      connectIfBackoffPassed();
     }
   }
 
-  /** Resets the silence timeout because the peer sent a frame. */
+  /** Sets the silence timeout back to its initial length because the peer sent a frame. */
   synchronized void frameReceived() {
     consecutiveSilences = 0;
   }
@@ -145,7 +160,7 @@
         << Math.min(consecutiveSilences, TransportLimits.MAX_SILENCE_TIMEOUT_DOUBLINGS);
   }
 
-  private void connectAfterBackoff() {
+  private void connectIfBackoffPassed() {
     String to = address;
     if (!connecting && to != null && System.nanoTime() - retryAtNanos >= 0) {
       connecting = true;
@@ -154,8 +169,8 @@
   }
 
   private void dropExpired() {
-    long expiryNanos = System.nanoTime() - TransportLimits.QUEUE_EXPIRY_NANOS;
-    while (!queue.isEmpty() && queue.getFirst().queuedAtNanos() - expiryNanos < 0) {
+    long oldestUnexpiredNanos = System.nanoTime() - TransportLimits.QUEUE_EXPIRY_NANOS;
+    while (!queue.isEmpty() && queue.getFirst().queuedAtNanos() - oldestUnexpiredNanos < 0) {
       queue.removeFirst();
       transport.counters().queueExpired.increment();
     }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerChannel.java
@@ -123,7 +123,10 @@
     context.fireUserEventTriggered(event);
   }
 
-  /** Attaches an outbound connection to its link once it can carry frames, after the handshake. */
+  /**
+   * Attaches a connection that this node opened to its link, once the connection can carry frames:
+   * after the TLS handshake, or at once without TLS.
+   */
   private void connectionReady() {
     if (opener == null) {
       return;
@@ -235,7 +238,7 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    transport.channelWritable(this);
+    transport.writabilityChanged(this);
     context.fireChannelWritabilityChanged();
   }
 
--- a/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerListener.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface PeerListener {
   /**
-   * Handles a message. Called on a network thread; must not block.
+   * Handles a message. Called on an event loop thread; must not block.
    *
    * @param from sender; with TLS, its certificate contains this name
    * @param incarnation incarnation of the sender when it sent the message
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -36,8 +36,12 @@
 
 /**
  * A node in the network of peers. Combines the transport with membership, distribution of the
- * manifest, forwarding of crash evidence and shared budgets. Methods may be called on any thread:
- * network threads, the timer service and callers submit tasks, which run one at a time.
+ * manifest, forwarding of crash evidence and shared budgets. Calls of {@link #start} and {@link
+ * #stop} must not overlap; other methods may be called on any thread.
+ *
+ * <p>Event loop threads, the timer service and callers submit tasks, which run one at a time. The
+ * node has no thread of its own: a task runs on the thread that submits it or, if another task is
+ * running then, on the thread of that task.
  */
 public final class PeerNode {
   private static final long DUMP_TIMEOUT_MILLIS = 2_000;
@@ -131,7 +135,10 @@
     tasks.onNext(() -> sendNow(to, message));
   }
 
-  /** Sends evidence to all other nodes, which forward it along the overlay of neighbours. */
+  /**
+   * Sends evidence to the neighbours of this node; each node forwards new evidence to its own
+   * neighbours, so that it reaches all nodes. The listener of this node does not receive it.
+   */
   public void broadcast(EvidenceMessage message) {
     tasks.onNext(() -> forwardIfNew(options.host(), message));
   }
@@ -185,7 +192,10 @@
     return activeRevision;
   }
 
-  /** Returns whether the active manifest is recent enough to serve requests. */
+  /**
+   * Returns whether this node has had a manifest that is recent enough to serve requests. Never
+   * becomes false again.
+   */
   public boolean configurationReady() {
     return configurationReady;
   }
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNodeOptions.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNodeOptions.java
@@ -19,8 +19,8 @@
  * @param bind address to listen on; port 0 selects a free port
  * @param advertised host and port that other nodes connect to; null for the bound address
  * @param seeds addresses of peers that the node contacts to join the fleet
- * @param tls files for mutual TLS; null for plain connections, only when {@code bind} is loopback
- *     or the network is private
+ * @param tls files for mutual TLS; null for plain connections, allowed only if {@code bind} is
+ *     loopback or the network is private
  * @param group event loops to share with other nodes of the process; null to create one event loop
  *     thread
  * @param privateNetwork whether the network between the nodes is closed to outsiders, so that plain
--- a/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerTransport.java
@@ -35,11 +35,12 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
 /**
- * Sends and receives messages between nodes over TCP, as length-prefixed protobuf frames. It uses
- * mutual TLS unless the node listens on loopback only or its network is private. Delivery is not
- * guaranteed: a message is lost if its connection breaks, if its queue overflows or if it waits too
- * long in the queue. Messages over one connection keep their order. Methods may be called on any
- * thread; the listener is called on event loop threads.
+ * Sends and receives messages between nodes over TCP, as length-prefixed protobuf frames. Uses
+ * mutual TLS if the options contain TLS files; without them, the node must listen on loopback or
+ * its network must be private. Delivery is not guaranteed: a message is lost if its connection
+ * breaks, if its queue overflows or if it waits too long in the queue. Messages over one connection
+ * keep their order. Calls of {@link #start} and {@link #stop} must not overlap; other methods may
+ * be called on any thread. The listener is called on event loop threads.
  */
 public final class PeerTransport {
   private final PeerTransportOptions options;
@@ -127,7 +128,8 @@
   }
 
   /**
-   * Sends a message to a host and opens a connection if there is none.
+   * Sends a message to a host and opens a connection if there is none. Ignores a message to this
+   * node itself.
    *
    * @param address host and port of its listener; null to use the open connection or the address of
    *     an earlier call
@@ -280,7 +282,7 @@
     return link == null ? TransportLimits.SILENCE_TIMEOUT_NANOS : link.silenceTimeoutNanos();
   }
 
-  void channelWritable(PeerChannel channel) {
+  void writabilityChanged(PeerChannel channel) {
     Link link = linkOf(channel);
     if (link != null) {
       link.flushOrConnect();
--- a/wire/src/main/java/org/mustardlatch/wire/PeerTransportOptions.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerTransportOptions.java
@@ -12,8 +12,8 @@
  * @param host this node
  * @param incarnation returns the current incarnation of this node
  * @param bind address to listen on; port 0 selects a free port
- * @param tls files for mutual TLS; null for plain connections, only when {@code bind} is loopback
- *     or the network is private
+ * @param tls files for mutual TLS; null for plain connections, allowed only if {@code bind} is
+ *     loopback or the network is private
  * @param group event loops to share with other transports; null to create one event loop thread
  * @param privateNetwork whether the network between the nodes is closed to outsiders, so that plain
  *     connections to other hosts are allowed
--- a/wire/src/main/java/org/mustardlatch/wire/TlsContexts.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TlsContexts.java
@@ -19,8 +19,8 @@
 
   static TlsContexts load(TlsFiles files) {
     try {
-      // Certificates contain host names, not addresses; PeerChannel checks the names after the
-      // handshake.
+      // Endpoint identification is disabled because certificates contain host names, not the
+      // addresses that nodes connect to; PeerChannel checks the names after the handshake.
       SslContext client =
           SslContextBuilder.forClient()
               .keyManager(files.certificate().toFile(), files.key().toFile())
--- a/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
+++ b/wire/src/main/java/org/mustardlatch/wire/TransportCounters.java
@@ -11,9 +11,16 @@
   final LongAdder framesReceived = new LongAdder();
   final LongAdder bytesSent = new LongAdder();
   final LongAdder bytesReceived = new LongAdder();
+
+  /** Messages dropped because the queue of their peer was full. */
   final LongAdder queueDrops = new LongAdder();
+
+  /** Messages dropped because they were queued for too long. */
   final LongAdder queueExpired = new LongAdder();
+
+  /** Attempts to open a connection, including those that failed. */
   final LongAdder connectionsOpened = new LongAdder();
+
   final LongAdder connectionsAccepted = new LongAdder();
   final LongAdder connectFailures = new LongAdder();
   final LongAdder silentClosed = new LongAdder();
--- a/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/PeerTransportTest.java
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Guards against use of a dead connection until the TCP timeout: a peer that accepts connections
-   * but never sends a frame must be replaced by a new connection.
+   * Guards against use of a dead connection until the TCP timeout: a connection to a peer that
+   * accepts connections but never sends a frame must be replaced by a new one.
    */
   @Test
   void aSilentConnectionIsReplaced() throws Exception {
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchCosts.java
@@ -28,8 +28,8 @@
 import org.mustardlatch.wire.generated.PeerProto.Envelope;
 
 /**
- * Prints the size of each message on the socket, and the size, compression and parse costs of
- * manifests. Opens no sockets.
+ * Prints the sizes of typical messages on the socket, computed without opening one, and the size,
+ * compression and parse costs of manifests.
  */
 public final class BenchCosts {
   /** Length prefix (4 bytes), and header, content type and tag of a TLS 1.3 record (22 bytes). */
@@ -85,9 +85,12 @@
     return b.build().getSerializedSize() + FRAMING_BYTES;
   }
 
-  /** Measures a manifest; the first half of the parse rounds is warm-up and does not count. */
+  /**
+   * Measures a manifest. The first half of the parse rounds is warm-up and does not count. The
+   * compression time includes generating the text.
+   */
   private static void measureManifest(int engines) {
-    String text = TargetManifest.text(engines, 1);
+    String text = ManifestGenerator.text(engines, 1);
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     long cpu = 0;
     long allocated = 0;
@@ -105,7 +108,7 @@
     long compressBefore = threads.getCurrentThreadCpuTime();
     for (int i = 0; i < ROUNDS; i++) {
       findings +=
-          socketBytes(new ConfigBody(1_000, TargetManifest.text(engines, i + 2))) < 0 ? 1 : 0;
+          socketBytes(new ConfigBody(1_000, ManifestGenerator.text(engines, i + 2))) < 0 ? 1 : 0;
     }
     double compressMillis = (threads.getCurrentThreadCpuTime() - compressBefore) / 1e6 / ROUNDS;
     System.out.printf(
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchFleet.java
@@ -135,7 +135,7 @@
 
   /**
    * Opens the connections for requests one by one, because simultaneous handshakes would stall the
-   * few network threads.
+   * few event loop threads.
    */
   private List<List<HostId>> openConnections() throws InterruptedException {
     List<List<HostId>> targets = new ArrayList<>();
@@ -188,7 +188,9 @@
     for (int c = 1; c <= options.changes; c++) {
       publishedRevision = c;
       publishedNanos = System.nanoTime();
-      nodes.get(random.nextInt(size)).manifestPublished(c, TargetManifest.text(options.engines, c));
+      nodes
+          .get(random.nextInt(size))
+          .manifestPublished(c, ManifestGenerator.text(options.engines, c));
       pause(3_000);
     }
     long last = options.changes;
@@ -197,10 +199,10 @@
 
   private void killNodes() throws InterruptedException {
     for (int k = 0; k < options.kills; k++) {
-      int victim = nodes.size() - 1;
-      HostId host = new HostId("n" + victim);
-      PeerNode node = nodes.remove(victim);
-      recorders.remove(victim);
+      int index = nodes.size() - 1;
+      HostId host = new HostId("n" + index);
+      PeerNode node = nodes.remove(index);
+      recorders.remove(index);
       long killedNanos = System.nanoTime();
       node.stop();
       await("kill", () -> recorders.stream().noneMatch(r -> r.hasMember(host)));
--- a/wire/src/test/java/org/mustardlatch/wire/bench/BenchOptions.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/BenchOptions.java
@@ -7,7 +7,7 @@
   @Option(name = "--nodes", usage = "fleet sizes, separated by commas")
   String nodes = "8,32,128,390";
 
-  @Option(name = "--threads", usage = "network threads, shared by all nodes")
+  @Option(name = "--threads", usage = "event loop threads, shared by all nodes")
   int threads = 3;
 
   @Option(name = "--joins-per-second", usage = "rate at which nodes start")
--- a/wire/src/test/java/org/mustardlatch/wire/bench/TargetManifest.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/ManifestGenerator.java
@@ -4,15 +4,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Generates a manifest of the largest intended size: 2 regions, 7 zones, 480 workspaces, 6 models
- * and a given number of engines.
+ * Generates manifests of a given number of engines. The other numbers are those of the largest
+ * intended fleet: 2 regions, 7 zones, 480 workspaces and 6 models.
  */
-final class TargetManifest {
+final class ManifestGenerator {
   private static final int ZONES = 7;
   private static final int WORKSPACES = 480;
   private static final int MODELS = 6;
 
-  private TargetManifest() {}
+  private ManifestGenerator() {}
 
   /** Returns the manifest text; texts of two revisions differ in the weight of one workspace. */
   static String text(int engines, long revision) {
--- a/wire/src/test/java/org/mustardlatch/wire/bench/RecordingListener.java
+++ b/wire/src/test/java/org/mustardlatch/wire/bench/RecordingListener.java
@@ -10,7 +10,10 @@
 import org.mustardlatch.core.peer.PeerMessage;
 import org.mustardlatch.wire.PeerNodeListener;
 
-/** Listener of one node that records its members, suspicions and active revisions. */
+/**
+ * Listener of one node that records its members and suspicions, passes on the revisions that it
+ * activates and responds to the messages of a reservation.
+ */
 final class RecordingListener implements PeerNodeListener {
   private final AtomicLong errorCount;
   private final BiConsumer<Long, Long> revisionListener;
