--- a/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
+++ b/core/src/main/java/org/mustardlatch/core/error/MustardlatchException.java
@@ -2,9 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/**
- * An error with a stable {@link ErrorCode}, which is returned to a caller or an operator.
- */
+/** An error with a stable {@link ErrorCode}, which is returned to a caller or an operator. */
 public class MustardlatchException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
