--- a/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Daemon.java
@@ -168,12 +168,15 @@
     }
   }
 
-  /** Blocks until a graceful stop has finished the last request in progress. */
+  /**
+   * Blocks until a graceful stop has finished the last request in progress, has stored the records
+   * of the ledger or waited 10 s for that, and has announced the stop to the peers.
+   */
   public void awaitDrained() throws InterruptedException {
     drained.await();
   }
 
-  /** Closes all listening sockets and connections; later calls do nothing. */
+  /** Closes all listening sockets and connections. Calls after the first do nothing. */
   public synchronized void stop() {
     if (!state.enter(NodeState.Phase.STOPPED)) {
       return;
--- a/daemon/src/main/java/org/mustardlatch/daemon/Main.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/Main.java
@@ -66,6 +66,7 @@
     return runNode(Path.of(options.config()), err);
   }
 
+  /** Runs a node on a platform if an adapter recognises the settings, else a {@link Daemon}. */
   private static int runNode(Path file, PrintStream err) {
     Settings settings;
     try {
@@ -97,6 +98,7 @@
     return EXIT_OK;
   }
 
+  /** Runs a node whose settings file is in the format of a platform. */
   private static int runOnPlatform(PlatformComponents components) {
     long startNanos = System.nanoTime();
     GatewayNode node = new GatewayNode(components);
--- a/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/PeerBinding.java
@@ -79,6 +79,7 @@
 
   @Override
   public void fenced(long incarnation) {
+    // The router takes the new incarnation from this node's entry in the member list.
     routingEvents.accept(new RoutingEvent.MembersChanged(liveMembers()));
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/AppliedManifest.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/AppliedManifest.java
@@ -5,7 +5,7 @@
 import org.mustardlatch.core.manifest.Manifest;
 
 /**
- * One applied revision of the manifest, with its source text and parsed content.
+ * A manifest revision that was activated on this node, with its source text and parsed content.
  *
  * @param revision revision number, at least 1
  * @param digest SHA-256 hash of {@code text}, in lower-case hexadecimal
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/EventLoop.java
@@ -12,13 +12,14 @@
 import org.mustardlatch.gateway.log.LogEvent;
 
 /**
- * Timer service and executor of the daemon. All tasks run on a single thread, in the order of their
- * scheduled times, so state that is accessed only by tasks needs no locks.
+ * Timer service and executor with a single thread. Tasks run in the order of their scheduled times,
+ * so state that is accessed only by tasks of one loop needs no locks. Routing, peers and the ledger
+ * each have a loop of their own.
  */
 public final class EventLoop implements TimerService, Executor {
   private final ScheduledThreadPoolExecutor executor;
 
-  /** Creates the loop; its daemon thread has the given name. */
+  /** Creates the loop and names its thread, which does not keep the process alive. */
   public EventLoop(String name) {
     executor =
         new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().name(name).factory());
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/HttpServer.java
@@ -14,11 +14,14 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.settings.SocketAddress;
 
-/** HTTP server that runs each request on its own virtual thread. */
+/**
+ * HTTP server of the caller API and of the operator API, one instance each. Each request runs on
+ * its own virtual thread.
+ */
 public final class HttpServer {
   private static final int MAX_HEADER_BYTES = 16 << 10;
 
-  /** Must exceed the longest permitted pause between two tokens of a request. */
+  /** Must exceed the longest permitted pause between two tokens of a response. */
   private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(5);
 
   // The default of 50 overflows when the process pauses for a few milliseconds. The kernel then
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestPublisher.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestPublisher.java
@@ -12,7 +12,7 @@
    *
    * @param text manifest in TOML
    * @param base revision that the manifest replaces; 0 for the first manifest
-   * @return the new revision, which enough nodes have applied
+   * @return the new revision, applied by so many nodes that it can't be lost
    * @throws MustardlatchException with {@link ErrorCode#MANIFEST_INVALID}, {@link
    *     ErrorCode#MANIFEST_CONFLICT}, {@link ErrorCode#STORE_UNAVAILABLE} or {@link
    *     ErrorCode#MANIFEST_UNKNOWN}
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/ManifestService.java
@@ -31,12 +31,12 @@
 public final class ManifestService implements ManifestPublisher, PeerServiceListener {
   private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(1);
   private static final Duration RESOLVE_TIMEOUT = Duration.ofSeconds(5);
-  private static final Duration PUBLISH_TIMEOUT = RESOLVE_TIMEOUT.plusSeconds(5);
+  private static final Duration STORE_TIMEOUT = RESOLVE_TIMEOUT.plusSeconds(5);
 
   /** Twice the limit of 4 s within which a manifest must be active on all nodes. */
   private static final Duration ACCEPT_TIMEOUT = Duration.ofSeconds(8);
 
-  private final ManifestStore store;
+  private final ManifestStore manifestStore;
   private final PeerService peers;
   private final TimerService timers;
   private final RevisionLatch acceptedRevision = new RevisionLatch();
@@ -44,8 +44,8 @@
   private @Nullable TimerSubscription watch;
 
   /** Creates a service that is not started, and registers it as a listener of the peer service. */
-  public ManifestService(ManifestStore store, PeerService peers, TimerService timers) {
-    this.store = store;
+  public ManifestService(ManifestStore manifestStore, PeerService peers, TimerService timers) {
+    this.manifestStore = manifestStore;
     this.peers = peers;
     this.timers = timers;
     peers.addListener(this);
@@ -57,7 +57,7 @@
       return;
     }
     var unused =
-        store
+        manifestStore
             .read()
             .thenAccept(
                 found ->
@@ -68,7 +68,7 @@
   @Override
   public synchronized void watchManifest(boolean enabled) {
     if (enabled && watch == null && !stopped) {
-      watch = store.watch(this::reportStored);
+      watch = manifestStore.watch(this::reportStored);
     } else if (!enabled && watch != null) {
       watch.cancel();
       watch = null;
@@ -89,7 +89,7 @@
   @Override
   public long publish(String text, long base) {
     Manifest submitted = ManifestParser.parse("manifest", text).orThrow(ErrorCode.MANIFEST_INVALID);
-    PublishResult result = await(store.publish(base, text, RESOLVE_TIMEOUT), base);
+    PublishResult result = await(manifestStore.publish(base, text, RESOLVE_TIMEOUT), base);
     return switch (result) {
       case PublishResult.Published p -> distribute(p.revision(), text);
       case PublishResult.Conflict c -> {
@@ -143,7 +143,7 @@
 
   private static PublishResult await(CompletableFuture<PublishResult> result, long base) {
     try {
-      return result.get(PUBLISH_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+      return result.get(STORE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
       return new PublishResult.Unknown(base + 1, e.toString());
     }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeRegistration.java
@@ -18,7 +18,7 @@
 /**
  * Registers this node in the object service (kind {@code nodes}) and discovers other nodes there,
  * so that a node can join even if no seed responds. If the object service is unavailable, the node
- * joins through its seeds. The list is read again only while this node has no other live member,
+ * joins through its seeds. The list is read again only while this node is the only live member,
  * which normally limits the reads to one per start.
  */
 public final class NodeRegistration {
@@ -52,7 +52,8 @@
   }
 
   /**
-   * Registers this node and looks for other nodes, and repeats both until they have succeeded.
+   * Registers this node and looks for other nodes. The registration is retried until it has
+   * succeeded; the search is repeated while this node is the only live member.
    *
    * @param address peer address at which other nodes can reach this node
    */
@@ -62,7 +63,7 @@
     subscription = timers.scheduleRepeating(RETRY_PERIOD, () -> registerAndDiscover(text));
   }
 
-  /** Stops the periodic attempts. */
+  /** Stops retrying the registration and searching for nodes. */
   public synchronized void stop() {
     subscription.cancel();
   }
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/NodeState.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/NodeState.java
@@ -28,7 +28,10 @@
     STARTING,
     /** The node accepts requests. */
     READY,
-    /** The readiness check fails, but requests are accepted until the load balancer has reacted. */
+    /**
+     * The readiness check fails, but requests are accepted for the drain delay, so that the load
+     * balancer can react.
+     */
     DRAINING,
     /** New requests are refused; requests in progress run to completion. */
     REFUSING,
--- a/daemon/src/main/java/org/mustardlatch/daemon/node/package-info.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/node/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Services of the node as a whole: active manifest, event loop, HTTP server, registration and
- * lifecycle state.
+ * Services of the node as a whole: reading, activation and publication of the manifest, host list,
+ * registration, lifecycle state, event loop and HTTP server.
  */
 @NullMarked
 package org.mustardlatch.daemon.node;
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestApplier.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/ManifestApplier.java
@@ -6,7 +6,8 @@
 @FunctionalInterface
 public interface ManifestApplier {
   /**
-   * Activates a revision atomically before returning. Must not block.
+   * Activates a revision atomically before returning, unless the active revision is the same or
+   * higher. Must not block.
    *
    * @return false if the text is invalid; the active revision then stays active
    */
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerService.java
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Sets the terms of the shared budgets of this region. The keys are budget names such as {@code
-   * workspace/NAME}. All nodes of the region must use the same terms.
+   * Sets the rate and lease time of each shared budget of this region. The keys are budget names
+   * such as {@code workspace/NAME}. All nodes of the region must use the same terms.
    */
   public void configureBudgets(Map<String, BudgetTerms> terms) {
     node.configureBudgets(terms);
@@ -173,7 +173,7 @@
 
   /** Logs the events of the peer node and forwards them to the listeners. */
   private final class PeerNodeEvents implements PeerNodeListener {
-    private Set<HostId> knownHosts = new HashSet<>();
+    private Set<HostId> previousHosts = new HashSet<>();
     private Set<RegionId> loggedUnreachableRegions = Set.of();
 
     @Override
@@ -181,12 +181,12 @@
       Set<HostId> currentHosts = new HashSet<>();
       list.members().forEach(m -> currentHosts.add(m.host()));
       Set<HostId> joined = new HashSet<>(currentHosts);
-      joined.removeAll(knownHosts);
-      knownHosts.removeAll(currentHosts);
-      knownHosts.remove(options.host());
+      joined.removeAll(previousHosts);
+      previousHosts.removeAll(currentHosts);
+      previousHosts.remove(options.host());
       joined.forEach(h -> EventLog.log(LogEvent.NODE_JOINED, h, currentHosts.size()));
-      knownHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, currentHosts.size()));
-      knownHosts = currentHosts;
+      previousHosts.forEach(h -> EventLog.log(LogEvent.NODE_GONE, h, currentHosts.size()));
+      previousHosts = currentHosts;
       for (RegionId r : list.unreachableRegions()) {
         if (!loggedUnreachableRegions.contains(r)) {
           EventLog.log(LogEvent.REGION_UNREACHABLE, r);
--- a/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/peer/PeerServiceListener.java
@@ -5,8 +5,8 @@
 import org.mustardlatch.core.peer.PeerMessage;
 
 /**
- * Listener for the events of {@link PeerService}. All methods do nothing by default. Calls are
- * serialized on a network or timer thread and must not block.
+ * Listener for the events of {@link PeerService}. All methods do nothing by default. Calls are made
+ * one at a time, on a network, timer or caller thread, and must not block.
  */
 public interface PeerServiceListener {
   /** Called when the live nodes change, and once at startup with only this node in the list. */
@@ -29,8 +29,8 @@
   default void manifestAccepted(long revision) {}
 
   /**
-   * Called when this node must start or stop watching the manifest in the object service. While
-   * watching, it passes each manifest that it reads to {@link PeerService#manifestStored}.
+   * Called when this node must start or stop watching the manifest in the object service. While it
+   * watches, each manifest that was read is passed to {@link PeerService#manifestStored}.
    */
   default void watchManifest(boolean watch) {}
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ManifestStore.java
@@ -63,8 +63,9 @@
 
   /**
    * Publishes a manifest as revision {@code base + 1} if {@code base} is the latest revision. After
-   * an update whose response was lost, the object is read back and, if necessary, written again on
-   * the version just read, until the outcome is known or the time limit has passed.
+   * an update whose response was lost, the object is read back and, if necessary, updated again on
+   * condition that the version just read is still the current one. This repeats until the outcome
+   * is known or the time limit has passed.
    *
    * @param base revision from which the operator's change was made; 0 for the first manifest
    * @param text validated manifest in TOML
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectStoreClient.java
@@ -23,7 +23,8 @@
 
 /**
  * Asynchronous client of the object service. No method blocks. Futures complete on a thread of the
- * HTTP client and never exceptionally; failures are reported as result values.
+ * HTTP client and never exceptionally; failures are reported as result values, or to a callback by
+ * {@link #list}.
  */
 public final class ObjectStoreClient implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/Publication.java
@@ -10,8 +10,8 @@
  *
  * <p>An update whose response was lost may still be applied as long as the version on which it is
  * conditional is the current one. A read that returns the old version therefore does not prove that
- * the update failed. The update is sent again on the same version: at most one of the two can be
- * applied, because it changes the version and makes the other one fail.
+ * the update failed. The update is sent again, conditional on the same version: at most one of the
+ * two can be applied, because it changes the version and makes the other one fail.
  */
 final class Publication {
   private static final Duration RETRY_DELAY = Duration.ofMillis(100);
@@ -48,13 +48,14 @@
             read ->
                 switch (read) {
                   case ReadResult.Found f ->
-                      decide(f.object().version(), ManifestObject.parse(f.object().spec()));
-                  case ReadResult.NotFound n -> decide("", ManifestObject.EMPTY);
-                  case ReadResult.Failed f -> failed("object service can't be read: " + f.reason());
+                      checkAndWrite(f.object().version(), ManifestObject.parse(f.object().spec()));
+                  case ReadResult.NotFound n -> checkAndWrite("", ManifestObject.EMPTY);
+                  case ReadResult.Failed f ->
+                      retryIfAmbiguous("object service can't be read: " + f.reason());
                 });
   }
 
-  private CompletableFuture<PublishResult> decide(String version, ManifestObject found) {
+  private CompletableFuture<PublishResult> checkAndWrite(String version, ManifestObject found) {
     if (found.publisherNonces().contains(nonce)) {
       return completed(new PublishResult.Published(base + 1));
     }
@@ -72,7 +73,7 @@
                 switch (written) {
                   case WriteResult.Stored s -> completed(new PublishResult.Published(base + 1));
                   case WriteResult.Conflict c -> retry("conflicting update");
-                  case WriteResult.Refused r -> failed("update refused: " + r.reason());
+                  case WriteResult.Refused r -> retryIfAmbiguous("update refused: " + r.reason());
                   case WriteResult.Unknown u -> {
                     outcomeAmbiguous = true;
                     yield retry("answer to the update lost: " + u.reason());
@@ -80,7 +81,8 @@
                 });
   }
 
-  private CompletableFuture<PublishResult> failed(String reason) {
+  /** Retries if an earlier update may have been applied; otherwise returns a refusal. */
+  private CompletableFuture<PublishResult> retryIfAmbiguous(String reason) {
     return outcomeAmbiguous ? retry(reason) : completed(new PublishResult.Refused(reason));
   }
 
--- a/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/PublishResult.java
@@ -13,7 +13,9 @@
   record Conflict(ManifestRevision latest) implements PublishResult {}
 
   /**
-   * Nothing was stored, and no update is pending that could still be applied.
+   * Nothing was stored, and no update is pending that could still be applied. The object service
+   * could not be read or reached, or refused the update, or conflicting updates lasted until the
+   * time limit.
    *
    * @param reason explanation for the operator
    */
--- a/daemon/src/test/java/org/mustardlatch/daemon/KeyedRequestTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/KeyedRequestTest.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.standin.EngineOptions;
 
 /**
- * Guards against keyed requests that are executed twice or get a wrong response, also when they are
- * repeated at another daemon.
+ * Guards against keyed requests (those with an idempotency key) that are executed twice or get a
+ * wrong response, also when they are repeated at another daemon.
  */
 class KeyedRequestTest {
   private final ApplicationStandin application = new ApplicationStandin(0);
--- a/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/ProcessFaultTest.java
@@ -34,12 +34,13 @@
  */
 class ProcessFaultTest {
   /**
-   * Covers failure detection, suspicion, refutation time and attempt sweep (design, section 4.6).
+   * Covers failure detection, suspicion, refutation time and the sweep of orphaned attempts
+   * (design, section 4.6).
    */
   private static final Duration DEAD_NODE_CLEANUP_TIMEOUT = Duration.ofSeconds(20);
 
   private static final Duration STEP_TIMEOUT = Duration.ofSeconds(30);
-  private static final int ENDLESS_TOKENS = 10_000;
+  private static final int LONG_OUTPUT_TOKENS = 10_000;
   private static final int CONNECTION_BURST = 400;
 
   @TempDir Path directory;
@@ -91,7 +92,7 @@
   @Test
   void engineMemoryOfAKilledNodeIsFreed() {
     Future<TestHttpClient.Response> interrupted =
-        callers.submit(() -> complete(first, "killed", ENDLESS_TOKENS));
+        callers.submit(() -> complete(first, "killed", LONG_OUTPUT_TOKENS));
     awaitDecoding(interrupted);
     first.signal("KILL");
     awaitNoAllocations(DEAD_NODE_CLEANUP_TIMEOUT);
@@ -103,7 +104,7 @@
   @Test
   void engineMemoryOfASuspendedNodeIsFreedAndTheNodeServesAgainAfterResuming() {
     Future<TestHttpClient.Response> suspended =
-        callers.submit(() -> complete(first, "frozen", ENDLESS_TOKENS));
+        callers.submit(() -> complete(first, "frozen", LONG_OUTPUT_TOKENS));
     awaitDecoding(suspended);
     first.signal("STOP");
     awaitNoAllocations(DEAD_NODE_CLEANUP_TIMEOUT);
--- a/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/WorkspaceRateTest.java
@@ -13,10 +13,10 @@
   private static final double RATE = 4;
 
   /**
-   * Permitted excess in seconds of the rate (design, section 4.11): at most one lease time of
-   * units, and one more that a new budget owner accumulates.
+   * Permitted excess, in seconds of requests at the full rate (design, section 4.11): at most one
+   * lease time of units, and one more that a new budget owner accumulates.
    */
-  private static final double ERROR_SECONDS = 2;
+  private static final double PERMITTED_EXCESS_SECONDS = 2;
 
   @Test
   void aWorkspaceIsLimitedToItsRateAndRefusalsCarryRetryAfter() {
@@ -39,7 +39,7 @@
         }
       }
       double seconds = (System.nanoTime() - start) / 1e9;
-      assertThat((double) granted).isAtMost(RATE * (seconds + ERROR_SECONDS));
+      assertThat((double) granted).isAtMost(RATE * (seconds + PERMITTED_EXCESS_SECONDS));
       assertThat(granted).isGreaterThan(0);
       assertThat(limited).isGreaterThan(0);
     }
--- a/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
+++ b/daemon/src/test/java/org/mustardlatch/daemon/store/ObjectStoreClientTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Guards against wrong results for responses of the object service, and for responses that are lost
- * or late.
+ * or arrive after the timeout.
  */
 class ObjectStoreClientTest {
   private static final ObjectStoreTimeouts TIMEOUTS =
