--- a/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
+++ b/daemon/src/main/java/org/mustardlatch/daemon/store/ObjectWatch.java
@@ -25,8 +25,10 @@
   private final ObjectStoreTimeouts timeouts;
   private final TimerService timers;
   private final Consumer<StoredObject> listener;
+
   /** Last received version; 0, before any version, makes the service send the current object. */
   private volatile String lastVersion = "0";
+
   private volatile boolean cancelled;
   private volatile @Nullable Call call;
 
