--- a/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
@@ -16,24 +16,24 @@
  */
 public final class Balancer {
   // Stated load is as old as the answer that carried it; after this it says nothing any more.
-  private static final long LOAD_AGE_NANOS = 400_000_000;
-  private static final long INITIAL_SERVICE_NANOS = 20_000_000;
-  private static final double NEWEST_WEIGHT = 0.2;
+  private static final long MAX_LOAD_AGE_NANOS = 400_000_000;
+  private static final long INITIAL_SERVICE_TIME_NANOS = 20_000_000;
+  private static final double SERVICE_TIME_EWMA_WEIGHT = 0.2;
   // An upstream that broke off is tried again after 0.25 s, 0.5 s and so on up to 4 s.
-  private static final long FIRST_BLOCK_NANOS = 250_000_000;
-  private static final int MAX_DOUBLINGS = 4;
+  private static final long INITIAL_BACKOFF_NANOS = 250_000_000;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-  private static final class State {
+  private static final class UpstreamState {
     int inFlight;
-    double serviceNanos = INITIAL_SERVICE_NANOS;
+    double serviceTimeNanos = INITIAL_SERVICE_TIME_NANOS;
     @Nullable UpstreamLoad load;
-    long loadNanos;
-    int inFlightAtLoad;
-    long blockedUntilNanos = Long.MIN_VALUE;
-    int failures;
+    long loadReportedNanos;
+    int inFlightAtLoadReport;
+    long backoffUntilNanos = Long.MIN_VALUE;
+    int consecutiveFailures;
   }
 
-  private final Map<UpstreamId, State> states = new HashMap<>();
+  private final Map<UpstreamId, UpstreamState> states = new HashMap<>();
 
   /**
    * Returns the upstream with the shortest predicted answer time, or null when there is none.
@@ -49,8 +49,8 @@
       if (tried.contains(c.id())) {
         continue;
       }
-      double score = predictedNanos(c, now);
-      if (state(c.id()).blockedUntilNanos > now) {
+      double score = predictedResponseNanos(c, now);
+      if (state(c.id()).backoffUntilNanos > now) {
         // Only when nothing else is left.
         score += Long.MAX_VALUE / 2.0;
       }
@@ -63,73 +63,73 @@
   }
 
   /** Returns the predicted time from sending a request to its answer, nanoseconds. */
-  public double predictedNanos(Candidate c, long now) {
-    State s = state(c.id());
+  public double predictedResponseNanos(Candidate c, long now) {
+    UpstreamState s = state(c.id());
     double running = s.inFlight;
     double slowness = 1;
     UpstreamLoad load = s.load;
-    if (load != null && now - s.loadNanos < LOAD_AGE_NANOS) {
-      double others = Math.max(0, load.running() + load.waiting() - s.inFlightAtLoad);
-      running += others * (1 - (double) (now - s.loadNanos) / LOAD_AGE_NANOS);
-      slowness = load.slowness();
+    if (load != null && now - s.loadReportedNanos < MAX_LOAD_AGE_NANOS) {
+      double others = Math.max(0, load.running() + load.waiting() - s.inFlightAtLoadReport);
+      running += others * (1 - (double) (now - s.loadReportedNanos) / MAX_LOAD_AGE_NANOS);
+      slowness = load.slowdownFactor();
     }
     double queued = Math.max(0, running + 1 - c.slots());
-    return c.distanceNanos() + s.serviceNanos * slowness * (1 + queued / c.slots());
+    return c.roundTripNanos() + s.serviceTimeNanos * slowness * (1 + queued / c.slots());
   }
 
   /** Takes note that a request was sent. */
-  public void sent(UpstreamId id) {
+  public void requestSent(UpstreamId id) {
     state(id).inFlight++;
   }
 
   /** Takes note that an upstream answered a request, whatever the answer. */
-  public void answered(UpstreamId id, long durationNanos, @Nullable UpstreamLoad load, long now) {
-    State s = state(id);
+  public void responseReceived(UpstreamId id, long durationNanos, @Nullable UpstreamLoad load, long now) {
+    UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
-    s.failures = 0;
-    double slowness = load == null ? 1 : Math.max(1, load.slowness());
+    s.consecutiveFailures = 0;
+    double slowness = load == null ? 1 : Math.max(1, load.slowdownFactor());
     double usual = durationNanos / slowness;
-    s.serviceNanos += NEWEST_WEIGHT * (usual - s.serviceNanos);
-    stated(s, load, now);
+    s.serviceTimeNanos += SERVICE_TIME_EWMA_WEIGHT * (usual - s.serviceTimeNanos);
+    recordLoad(s, load, now);
   }
 
   /** Takes note that an upstream refused a request that it did not run. */
-  public void refused(UpstreamId id, @Nullable UpstreamLoad load, long now) {
-    State s = state(id);
+  public void requestRefused(UpstreamId id, @Nullable UpstreamLoad load, long now) {
+    UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
-    stated(s, load, now);
-    s.blockedUntilNanos = Math.max(s.blockedUntilNanos, now + FIRST_BLOCK_NANOS / 4);
+    recordLoad(s, load, now);
+    s.backoffUntilNanos = Math.max(s.backoffUntilNanos, now + INITIAL_BACKOFF_NANOS / 4);
   }
 
   /** Takes note that a request to an upstream was broken off or got no answer. */
-  public void failed(UpstreamId id, long now) {
-    State s = state(id);
+  public void requestFailed(UpstreamId id, long now) {
+    UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
-    long block = FIRST_BLOCK_NANOS << Math.min(MAX_DOUBLINGS, s.failures);
-    s.blockedUntilNanos = Math.max(s.blockedUntilNanos, now + block);
-    s.failures++;
+    long block = INITIAL_BACKOFF_NANOS << Math.min(MAX_BACKOFF_DOUBLINGS, s.consecutiveFailures);
+    s.backoffUntilNanos = Math.max(s.backoffUntilNanos, now + block);
+    s.consecutiveFailures++;
   }
 
   /** Takes note that this node gave a request up before its answer. */
-  public void abandoned(UpstreamId id) {
-    State s = state(id);
+  public void requestCancelled(UpstreamId id) {
+    UpstreamState s = state(id);
     s.inFlight = Math.max(0, s.inFlight - 1);
   }
 
   /** Forgets upstreams that no longer exist. */
-  public void keep(Set<UpstreamId> known) {
+  public void retainOnly(Set<UpstreamId> known) {
     states.keySet().retainAll(known);
   }
 
-  private static void stated(State s, @Nullable UpstreamLoad load, long now) {
+  private static void recordLoad(UpstreamState s, @Nullable UpstreamLoad load, long now) {
     if (load != null) {
       s.load = load;
-      s.loadNanos = now;
-      s.inFlightAtLoad = s.inFlight;
+      s.loadReportedNanos = now;
+      s.inFlightAtLoadReport = s.inFlight;
     }
   }
 
-  private State state(UpstreamId id) {
-    return states.computeIfAbsent(id, i -> new State());
+  private UpstreamState state(UpstreamId id) {
+    return states.computeIfAbsent(id, i -> new UpstreamState());
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/balancing/Candidate.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/Candidate.java
@@ -7,9 +7,9 @@
  *
  * @param id the upstream
  * @param slots requests that it works on at a time, at least 1
- * @param distanceNanos time there and back on the network, nanoseconds
+ * @param roundTripNanos time there and back on the network, nanoseconds
  */
-public record Candidate(UpstreamId id, int slots, long distanceNanos) {
+public record Candidate(UpstreamId id, int slots, long roundTripNanos) {
   /** Checks the number of slots. */
   public Candidate {
     if (slots < 1) {
--- a/core/src/main/java/org/mustardlatch/core/balancing/RepeatBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/RetryBudget.java
@@ -5,7 +5,7 @@
  * Because it is a fraction of local traffic and the initial units are few, the sum over all nodes
  * keeps the fleet's bound without messages.
  */
-public final class RepeatBudget {
+public final class RetryBudget {
   private double capacity;
   private double units;
 
@@ -15,7 +15,7 @@
    * @param initial units at the start, so that a failure right after the start can be repeated
    * @param capacity most units that are saved up; bounds a burst of repeats
    */
-  public RepeatBudget(double initial, double capacity) {
+  public RetryBudget(double initial, double capacity) {
     this.units = initial;
     this.capacity = capacity;
   }
@@ -25,7 +25,7 @@
    *
    * @param fraction units that it earns, 0 to 1
    */
-  public void earn(double fraction) {
+  public void deposit(double fraction) {
     units = Math.min(capacity, units + fraction);
   }
 
@@ -34,13 +34,13 @@
    *
    * @param most at least 0
    */
-  public void limit(double most) {
+  public void setCapacity(double most) {
     capacity = most;
     units = Math.min(units, most);
   }
 
   /** Takes one unit; returns false when there is none. */
-  public boolean take() {
+  public boolean tryAcquire() {
     if (units < 1) {
       return false;
     }
--- a/core/src/main/java/org/mustardlatch/core/balancing/UpstreamLoad.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/UpstreamLoad.java
@@ -6,6 +6,6 @@
  * @param running requests that it works on
  * @param waiting requests in its queue
  * @param slots requests that it works on at a time
- * @param slowness how long work takes there at this moment, 1 as usual
+ * @param slowdownFactor how long work takes there at this moment, 1 as usual
  */
-public record UpstreamLoad(int running, int waiting, int slots, double slowness) {}
+public record UpstreamLoad(int running, int waiting, int slots, double slowdownFactor) {}
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
@@ -21,25 +21,25 @@
   /** How long a spend waits for a lease before it is refused. */
   public static final Duration MAX_WAIT = Duration.ofMillis(300);
 
-  private static final long ASK_TIMEOUT = Duration.ofMillis(100).toNanos();
-  private static final long ASK_PERIOD = Duration.ofMillis(50).toNanos();
+  private static final long REQUEST_TIMEOUT = Duration.ofMillis(100).toNanos();
+  private static final long MIN_REQUEST_INTERVAL = Duration.ofMillis(50).toNanos();
 
   /** Requests without answer after which the stand-in is asked. */
   private static final int UNANSWERED_LIMIT = 1;
 
   /** How long the stand-in is asked before the owner is tried again. */
-  private static final long FALL_BACK = Duration.ofSeconds(2).toNanos();
+  private static final long BACKUP_PERIOD = Duration.ofSeconds(2).toNanos();
 
-  private final BudgetOwners owners = new BudgetOwners();
-  private final Map<String, HeldBudget> held = new HashMap<>();
+  private final BudgetOwnerRanking owners = new BudgetOwnerRanking();
+  private final Map<String, LeasedBudget> leasedBudgets = new HashMap<>();
 
   /** Creates a client that holds nothing. */
   public BudgetClient() {}
 
   /** Sets the live nodes of the region, this one included. */
   public void membersChanged(List<HostId> regionHosts) {
-    owners.hosts(regionHosts);
-    held.values().forEach(h -> h.candidate = 0);
+    owners.setHosts(regionHosts);
+    leasedBudgets.values().forEach(h -> h.candidateIndex = 0);
   }
 
   /**
@@ -53,82 +53,82 @@
     if (!(units > 0)) {
       throw new IllegalArgumentException("units must be greater than 0, got " + units);
     }
-    HeldBudget h =
-        held.computeIfAbsent(
-            budget, b -> new HeldBudget(BudgetTerms.DEFAULT_LEASE_TIME.toNanos(), nowNanos));
+    LeasedBudget h =
+        leasedBudgets.computeIfAbsent(
+            budget, b -> new LeasedBudget(BudgetTerms.DEFAULT_LEASE_TIME.toNanos(), nowNanos));
     if (h.spend(ticket, units, nowNanos)) {
       out.accept(new BudgetCommand.Granted(ticket));
     }
-    ask(budget, h, nowNanos, out);
+    requestLease(budget, h, nowNanos, out);
   }
 
   /** Takes a lease that arrived. */
-  public void lease(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
-    HeldBudget h = held.get(lease.budget());
+  public void leaseReceived(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
+    LeasedBudget h = leasedBudgets.get(lease.budget());
     if (h == null) {
       return;
     }
-    h.asked = false;
-    h.unanswered = 0;
+    h.requestPending = false;
+    h.unansweredRequests = 0;
     if (lease.units() > 0) {
-      h.add(lease.units(), lease.validNanos(), nowNanos);
-      h.serve(nowNanos, out);
+      h.addLease(lease.units(), lease.validNanos(), nowNanos);
+      h.grantWaiting(nowNanos, out);
     }
   }
 
   /** Refuses spends that waited for too long and repeats requests without answer. */
   public void tick(long nowNanos, Consumer<BudgetCommand> out) {
-    held.forEach(
+    leasedBudgets.forEach(
         (budget, h) -> {
-          h.expire(nowNanos, MAX_WAIT.toNanos(), out);
-          ask(budget, h, nowNanos, out);
+          h.refuseExpired(nowNanos, MAX_WAIT.toNanos(), out);
+          requestLease(budget, h, nowNanos, out);
         });
-    held.values().removeIf(h -> h.idle(nowNanos));
+    leasedBudgets.values().removeIf(h -> h.isIdle(nowNanos));
   }
 
   /** Returns whether spends wait. */
-  public boolean hasWaiting() {
-    return held.values().stream().anyMatch(HeldBudget::hasWaiting);
+  public boolean hasWaitingSpends() {
+    return leasedBudgets.values().stream().anyMatch(LeasedBudget::hasWaitingSpends);
   }
 
   /** Returns the units held by budget, for a dump. */
-  public Map<String, Double> held(long nowNanos) {
+  public Map<String, Double> availableUnits(long nowNanos) {
     Map<String, Double> all = new HashMap<>();
-    held.forEach((budget, h) -> all.put(budget, h.held(nowNanos)));
+    leasedBudgets.forEach((budget, h) -> all.put(budget, h.availableUnits(nowNanos)));
     return all;
   }
 
-  private void ask(String budget, HeldBudget h, long now, Consumer<BudgetCommand> out) {
-    double wanted = h.wanted(now);
-    if (wanted <= 0 || (h.askedNanos != 0 && now - h.askedNanos < ASK_PERIOD)) {
+  private void requestLease(String budget, LeasedBudget h, long now, Consumer<BudgetCommand> out) {
+    double wanted = h.unitsToRequest(now);
+    if (wanted <= 0 || (h.lastRequestNanos != 0 && now - h.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
       return;
     }
-    if (h.asked) {
-      if (now - h.askedNanos < ASK_TIMEOUT) {
+    if (h.requestPending) {
+      if (now - h.lastRequestNanos < REQUEST_TIMEOUT) {
         return;
       }
-      h.unanswered++;
+      h.unansweredRequests++;
     }
-    List<HostId> candidates = owners.of(budget);
+    List<HostId> candidates = owners.candidatesFor(budget);
     if (candidates.isEmpty()) {
       return;
     }
-    choose(h, candidates.size(), now);
-    h.asked = true;
-    h.askedNanos = now;
+    selectCandidate(h, candidates.size(), now);
+    h.requestPending = true;
+    h.lastRequestNanos = now;
     out.accept(
         new BudgetCommand.Send(
-            candidates.get(h.candidate), new BudgetLeaseRequest(budget, wanted)));
+            candidates.get(h.candidateIndex), new BudgetLeaseRequest(budget, wanted)));
   }
 
-  private static void choose(HeldBudget h, int candidates, long now) {
-    if (h.candidate > 0 && now - h.fellBackNanos > FALL_BACK) {
-      h.candidate = 0;
-      h.unanswered = 0;
-    } else if (h.unanswered >= UNANSWERED_LIMIT) {
-      h.candidate = (h.candidate + 1) % candidates;
-      h.fellBackNanos = now;
-      h.unanswered = 0;
+  private static void selectCandidate(LeasedBudget h, int candidates, long now) {
+    if (h.candidateIndex > 0 && now - h.backupSinceNanos > BACKUP_PERIOD) {
+      h.candidateIndex = 0;
+      h.unansweredRequests = 0;
+    } else if (h.unansweredRequests >= UNANSWERED_LIMIT) {
+      h.candidateIndex = (h.candidateIndex + 1) % candidates;
+      h.backupSinceNanos = now;
+      h.unansweredRequests = 0;
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
@@ -18,8 +18,8 @@
  */
 public final class BudgetOwner {
   private final HostId self;
-  private final BudgetOwners owners = new BudgetOwners();
-  private final Map<String, OwnedBudget> owned = new HashMap<>();
+  private final BudgetOwnerRanking owners = new BudgetOwnerRanking();
+  private final Map<String, OwnedBudget> ownedBudgets = new HashMap<>();
   private Map<String, BudgetTerms> terms = Map.of();
 
   /** Creates an owner that knows no budget. */
@@ -30,34 +30,34 @@
   /** Sets the terms of all budgets of the region; others are no longer granted. */
   public void configure(Map<String, BudgetTerms> newTerms) {
     terms = Map.copyOf(newTerms);
-    owned.keySet().retainAll(terms.keySet());
-    owned.forEach(
+    ownedBudgets.keySet().retainAll(terms.keySet());
+    ownedBudgets.forEach(
         (name, budget) -> budget.terms(terms.getOrDefault(name, BudgetTerms.perSecond(0))));
   }
 
   /** Sets the live nodes of the region, this one included. */
   public void membersChanged(List<HostId> regionHosts) {
-    owners.hosts(regionHosts);
+    owners.setHosts(regionHosts);
   }
 
   /** Returns the lease that answers a request; of 0 units when none are available. */
-  public BudgetLease request(HostId from, BudgetLeaseRequest request, long nowNanos) {
+  public BudgetLease handleRequest(HostId from, BudgetLeaseRequest request, long nowNanos) {
     String name = request.budget();
     BudgetTerms t = terms.get(name);
     if (t == null) {
       return new BudgetLease(name, 0, 0);
     }
-    OwnedBudget budget = owned.computeIfAbsent(name, n -> new OwnedBudget(t, nowNanos));
-    List<HostId> candidates = owners.of(name);
+    OwnedBudget budget = ownedBudgets.computeIfAbsent(name, n -> new OwnedBudget(t, nowNanos));
+    List<HostId> candidates = owners.candidatesFor(name);
     if (candidates.isEmpty() || !candidates.getFirst().equals(self)) {
-      budget.cautious(nowNanos);
+      budget.halveRate(nowNanos);
     }
-    double units = budget.grant(from, request.wanted(), nowNanos);
+    double units = budget.grant(from, request.requestedUnits(), nowNanos);
     return new BudgetLease(name, units, t.leaseTime().toNanos());
   }
 
   /** Returns the names of the budgets that this node granted from. */
-  public List<String> granting() {
-    return owned.keySet().stream().sorted().toList();
+  public List<String> grantedBudgets() {
+    return ownedBudgets.keySet().stream().sorted().toList();
   }
 }
--- /dev/null
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetOwnerRanking.java
@@ -0,0 +1,25 @@
+package org.mustardlatch.core.budget;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.mustardlatch.core.membership.RendezvousHash;
+import org.mustardlatch.core.model.HostId;
+
+/** Owner of each budget and its stand-in: the first two hosts of the region in rendezvous order. */
+final class BudgetOwnerRanking {
+  static final int CANDIDATES = 2;
+
+  private final Map<String, List<HostId>> candidatesByBudget = new HashMap<>();
+  private List<HostId> setHosts = List.of();
+
+  void setHosts(List<HostId> regionHosts) {
+    setHosts = List.copyOf(regionHosts);
+    candidatesByBudget.clear();
+  }
+
+  /** Returns the owner and its stand-in; fewer when the region has fewer nodes. */
+  List<HostId> candidatesFor(String budget) {
+    return candidatesByBudget.computeIfAbsent(budget, b -> RendezvousHash.rank("budget/" + b, setHosts, CANDIDATES));
+  }
+}
--- /dev/null
+++ b/core/src/main/java/org/mustardlatch/core/budget/LeasedBudget.java
@@ -0,0 +1,127 @@
+package org.mustardlatch.core.budget;
+
+import java.util.ArrayDeque;
+import java.util.function.Consumer;
+
+/** What a client holds of one budget, and the spends that wait for a lease. */
+final class LeasedBudget {
+  private static final class Lease {
+    double units;
+    final long expiresNanos;
+
+    Lease(double units, long untilNanos) {
+      this.units = units;
+      this.expiresNanos = untilNanos;
+    }
+  }
+
+  record WaitingSpend(long ticket, double units, long queuedNanos) {}
+
+  private final ArrayDeque<Lease> leases = new ArrayDeque<>();
+  private final ArrayDeque<WaitingSpend> waitingSpends = new ArrayDeque<>();
+  private double previousDemand;
+  private double currentDemand;
+  private long windowNanos;
+  private long windowStartNanos;
+  long lastRequestNanos;
+  boolean requestPending;
+  int unansweredRequests;
+  int candidateIndex;
+  long backupSinceNanos;
+
+  LeasedBudget(long windowNanos, long now) {
+    this.windowNanos = windowNanos;
+    this.windowStartNanos = now;
+  }
+
+  /** Takes units when they are held; otherwise the spend waits. */
+  boolean spend(long ticket, double units, long now) {
+    recordDemand(units, now);
+    if (waitingSpends.isEmpty() && tryAcquire(units, now)) {
+      return true;
+    }
+    waitingSpends.addLast(new WaitingSpend(ticket, units, now));
+    return false;
+  }
+
+  void addLease(double units, long validNanos, long now) {
+    windowNanos = Math.max(1, validNanos);
+    leases.addLast(new Lease(units, now + validNanos));
+  }
+
+  /** Grants the waiting spends that fit what is held, in order. */
+  void grantWaiting(long now, Consumer<BudgetCommand> out) {
+    while (!waitingSpends.isEmpty() && tryAcquire(waitingSpends.getFirst().units(), now)) {
+      out.accept(new BudgetCommand.Granted(waitingSpends.removeFirst().ticket()));
+    }
+  }
+
+  /** Refuses the spends that waited for too long. */
+  void refuseExpired(long now, long maxWaitNanos, Consumer<BudgetCommand> out) {
+    while (!waitingSpends.isEmpty() && now - waitingSpends.getFirst().queuedNanos() >= maxWaitNanos) {
+      out.accept(new BudgetCommand.Refused(waitingSpends.removeFirst().ticket()));
+    }
+  }
+
+  boolean hasWaitingSpends() {
+    return !waitingSpends.isEmpty();
+  }
+
+  double availableUnits(long now) {
+    dropExpired(now);
+    return leases.stream().mapToDouble(l -> l.units).sum();
+  }
+
+  /** Returns the units expected to be spent within one lease time. */
+  double expectedUnits(long now) {
+    recordDemand(0, now);
+    return Math.max(previousDemand, currentDemand);
+  }
+
+  /** Returns the units to ask for, 0 when enough is held. */
+  double unitsToRequest(long now) {
+    double pending = waitingSpends.stream().mapToDouble(WaitingSpend::units).sum();
+    double held = availableUnits(now);
+    double expected = expectedUnits(now);
+    if (pending == 0 && held >= expected / 2) {
+      return 0;
+    }
+    return Math.max(0, pending + expected - held);
+  }
+
+  /** Returns whether nothing is held, waits or was spent lately. */
+  boolean isIdle(long now) {
+    return waitingSpends.isEmpty() && availableUnits(now) == 0 && expectedUnits(now) == 0;
+  }
+
+  private boolean tryAcquire(double units, long now) {
+    if (availableUnits(now) < units) {
+      return false;
+    }
+    double left = units;
+    while (left > 0 && !leases.isEmpty()) {
+      Lease l = leases.getFirst();
+      double part = Math.min(left, l.units);
+      l.units -= part;
+      left -= part;
+      if (l.units <= 0) {
+        leases.removeFirst();
+      }
+    }
+    return true;
+  }
+
+  private void dropExpired(long now) {
+    leases.removeIf(l -> now - l.expiresNanos >= 0);
+  }
+
+  private void recordDemand(double units, long now) {
+    long windows = (now - windowStartNanos) / windowNanos;
+    if (windows > 0) {
+      previousDemand = windows == 1 ? currentDemand : 0;
+      currentDemand = 0;
+      windowStartNanos += windows * windowNanos;
+    }
+    currentDemand += units;
+  }
+}
--- a/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
@@ -7,20 +7,20 @@
 
 /** A token bucket whose tokens go to clients as leases, shared by max-min fairness. */
 final class OwnedBudget {
-  private record Demand(double units, long atNanos) {}
+  private record Demand(double units, long requestedNanos) {}
 
   private final Map<HostId, Demand> demands = new HashMap<>();
   private BudgetTerms terms;
   private double tokens;
   private long refilledNanos;
-  private long cautiousUntilNanos;
+  private long halfRateUntilNanos;
 
   /** A new owner starts half full, because leases of the owner before it may still be spent. */
   OwnedBudget(BudgetTerms terms, long now) {
     this.terms = terms;
     this.tokens = terms.capacity() / 2;
     this.refilledNanos = now;
-    this.cautiousUntilNanos = now + terms.leaseTime().toNanos();
+    this.halfRateUntilNanos = now + terms.leaseTime().toNanos();
   }
 
   void terms(BudgetTerms newTerms) {
@@ -29,15 +29,15 @@
   }
 
   /** Another node may still grant from this budget; half the rate until a lease time from now. */
-  void cautious(long now) {
-    cautiousUntilNanos = now + terms.leaseTime().toNanos();
+  void halveRate(long now) {
+    halfRateUntilNanos = now + terms.leaseTime().toNanos();
   }
 
   /** Returns the units granted; 0, or at least the lesser of 1 and what was wanted. */
   double grant(HostId from, double wanted, long now) {
     refill(now);
     demands.put(from, new Demand(wanted, now));
-    forget(now);
+    dropStaleDemands(now);
     double least = Math.min(1, wanted);
     if (tokens < least || wanted <= 0) {
       return 0;
@@ -49,16 +49,16 @@
 
   private void refill(long now) {
     double full = terms.unitsPerSecond();
-    long cautious = Math.max(0, Math.min(now, cautiousUntilNanos) - refilledNanos);
+    long cautious = Math.max(0, Math.min(now, halfRateUntilNanos) - refilledNanos);
     long normal = Math.max(0, now - refilledNanos - cautious);
     tokens = Math.min(terms.capacity(), tokens + full * (cautious / 2.0 + normal) / 1e9);
     refilledNanos = now;
   }
 
-  private void forget(long now) {
+  private void dropStaleDemands(long now) {
     Iterator<Demand> all = demands.values().iterator();
     while (all.hasNext()) {
-      if (now - all.next().atNanos() > 2 * terms.leaseTime().toNanos()) {
+      if (now - all.next().requestedNanos() > 2 * terms.leaseTime().toNanos()) {
         all.remove();
       }
     }
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessages.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerMessages.java
@@ -37,7 +37,7 @@
 
   static ShardEvent.FinishRequested finishRequest(LedgerFinish m) {
     return new ShardEvent.FinishRequested(
-        new LedgerKey(m.key()), m.nonce(), RecordState.valueOf(m.state()), m.status(), m.answer());
+        new LedgerKey(m.key()), m.nonce(), RecordState.valueOf(m.state()), m.status(), m.response());
   }
 
   static LedgerStarted answer(Attempt a, StartResult result) {
@@ -59,7 +59,7 @@
    * @throws IllegalArgumentException when the state is not known
    */
   static KeyedEvent event(LedgerStarted m) {
-    boolean own = m.nonce().equals(m.askedNonce());
+    boolean own = m.nonce().equals(m.requestedNonce());
     if (m.state().equals(REFUSED)) {
       return startAnswered(new StartResult.NotStarted(ErrorCode.STORE_UNAVAILABLE, RETRY_AFTER));
     }
@@ -73,7 +73,7 @@
     return startAnswered(
         own && state == RecordState.STARTED
             ? new StartResult.Started()
-            : new StartResult.Existing(state, true, m.status(), m.answer()));
+            : new StartResult.Existing(state, true, m.status(), m.response()));
   }
 
   private static KeyedEvent startAnswered(StartResult result) {
--- a/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/LedgerNode.java
@@ -105,7 +105,7 @@
       case LedgerMessage.LedgerStarted m -> {
         KeyedEvent event = LedgerMessages.event(m);
         LedgerKey key = new LedgerKey(m.key());
-        turn(time, () -> startedOrLate(key, m.askedNonce(), event));
+        turn(time, () -> startedOrLate(key, m.requestedNonce(), event));
       }
       case LedgerMessage.LedgerFinish m -> {
         ShardEvent.FinishRequested finish = LedgerMessages.finishRequest(m);
--- a/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
+++ b/core/src/main/java/org/mustardlatch/core/ledger/ShardOwners.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.mustardlatch.core.membership.Rendezvous;
+import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.routing.Member;
@@ -29,6 +29,6 @@
             .map(Member::host)
             .toList();
     List<HostId> candidates = near.isEmpty() ? live.stream().map(Member::host).toList() : near;
-    return Rendezvous.owner("ledger/" + LedgerKey.shardName(shard), candidates);
+    return RendezvousHash.owner("ledger/" + LedgerKey.shardName(shard), candidates);
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
@@ -13,40 +13,40 @@
 
 /** Observes neighbours, votes against silent ones and declares suspects dead. */
 final class FailureDetector {
-  private final NodeState node;
+  private final MembershipState node;
   private final RumorMerger merger;
   private boolean isolated;
   private long isolatedSinceNanos;
 
-  FailureDetector(NodeState node, RumorMerger merger) {
+  FailureDetector(MembershipState node, RumorMerger merger) {
     this.node = node;
     this.merger = merger;
   }
 
   void tick(long now, Consumer<MembershipCommand> out) {
-    watchRegions(now);
-    watchIsolation(now);
+    updateRegionReachability(now);
+    updateIsolation(now);
     for (Peer p : node.observed()) {
-      probe(p, now, out);
-      vote(p, now, out);
+      probeIfSilent(p, now, out);
+      voteIfSilent(p, now, out);
     }
-    expire(now, out);
+    expireStates(now, out);
   }
 
   /** A frame of a peer arrived. */
-  void heard(Peer p, long now) {
+  void recordFrame(Peer p, long now) {
     if (isolated) {
       isolated = false;
-      forgiveSilence(now);
+      restartSilenceTimers(now);
     }
-    p.heard(now);
-    if (node.regions.heard(p.rumor.region())) {
-      forgiveSilence(now);
+    p.recordFrame(now);
+    if (node.regionReachability.markReachable(p.rumor.region())) {
+      restartSilenceTimers(now);
     }
   }
 
   /** Another observer misses a peer. */
-  void voted(HostId from, Suspicion s, long now) {
+  void recordVote(HostId from, Suspicion s, long now) {
     Peer p = node.peers.get(s.host());
     if (p != null && p.rumor.incarnation() == s.incarnation() && p.rumor.counter() == s.counter()) {
       p.votes.put(from, now);
@@ -54,11 +54,11 @@
   }
 
   /** Silence until now says nothing about the peers, because this node could not hear them. */
-  void forgiveSilence(long now) {
+  void restartSilenceTimers(long now) {
     for (Peer p : node.peers.values()) {
       p.clearVotes();
       if (node.isNeighbour(p.host())) {
-        p.heardNanos = Math.max(p.heardNanos, now);
+        p.silentSinceNanos = Math.max(p.silentSinceNanos, now);
       }
       if (p.state() == State.SUSPECT) {
         p.stateSinceNanos = now;
@@ -66,29 +66,29 @@
     }
   }
 
-  private void watchRegions(long now) {
+  private void updateRegionReachability(long now) {
     Map<RegionId, Boolean> silent = new HashMap<>();
     for (Peer p : node.neighbours()) {
-      if (p.live() && !p.rumor.region().equals(node.self.region())) {
+      if (p.isLive() && !p.rumor.region().equals(node.self.region())) {
         silent.merge(
             p.rumor.region(),
-            now - p.heardNanos > MembershipTimes.SILENT_AFTER,
+            now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER,
             Boolean::logicalAnd);
       }
     }
     silent.forEach(
         (region, all) -> {
           if (all) {
-            node.regions.silent(region, now);
+            node.regionReachability.markUnreachable(region, now);
           }
         });
   }
 
-  private void watchIsolation(long now) {
+  private void updateIsolation(long now) {
     Collection<Peer> neighbours = node.neighbours();
     boolean nothingHeard =
         neighbours.size() > 1
-            && neighbours.stream().allMatch(p -> now - p.heardNanos > MembershipTimes.SILENT_AFTER);
+            && neighbours.stream().allMatch(p -> now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER);
     if (nothingHeard && !isolated) {
       isolatedSinceNanos = now;
     }
@@ -96,45 +96,45 @@
   }
 
   /** Returns whether silence is more likely a fault of this node than the death of all others. */
-  private boolean cannotJudge(long now) {
-    return isolated && now - isolatedSinceNanos < MembershipTimes.UNREACHABLE_HOLD;
+  private boolean isLikelyIsolated(long now) {
+    return isolated && now - isolatedSinceNanos < MembershipConstants.UNREACHABLE_GRACE_PERIOD;
   }
 
-  private void probe(Peer p, long now, Consumer<MembershipCommand> out) {
-    if (now - p.heardNanos > MembershipTimes.PROBE_AFTER
-        && now - p.probedNanos > MembershipTimes.URGENT_HEARTBEAT) {
-      p.probedNanos = now;
+  private void probeIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
+    if (now - p.silentSinceNanos > MembershipConstants.PROBE_AFTER
+        && now - p.lastProbeNanos > MembershipConstants.URGENT_HEARTBEAT_PERIOD) {
+      p.lastProbeNanos = now;
       node.sendHeartbeat(p, now, out);
     }
   }
 
-  private void vote(Peer p, long now, Consumer<MembershipCommand> out) {
+  private void voteIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     RegionId region = p.rumor.region();
     long limit =
         region.equals(node.self.region())
-            ? MembershipTimes.SILENT_AFTER
-            : MembershipTimes.REMOTE_SILENT_AFTER;
+            ? MembershipConstants.SILENT_AFTER
+            : MembershipConstants.REMOTE_SILENT_AFTER;
     if (p.state() != State.ALIVE
         || node.leaving
-        || now - p.heardNanos <= limit
-        || cannotJudge(now)
-        || node.regions.unreachable(region)) {
+        || now - p.silentSinceNanos <= limit
+        || isLikelyIsolated(now)
+        || node.regionReachability.isUnreachable(region)) {
       p.voting = false;
       return;
     }
     if (!p.voting) {
       p.voting = true;
       p.votingSinceNanos = now;
-      p.votedNanos = now - MembershipTimes.VOTE_PERIOD;
+      p.lastVoteNanos = now - MembershipConstants.VOTE_PERIOD;
     }
-    if (now - p.votedNanos >= MembershipTimes.VOTE_PERIOD) {
-      p.votedNanos = now;
+    if (now - p.lastVoteNanos >= MembershipConstants.VOTE_PERIOD) {
+      p.lastVoteNanos = now;
       sendVotes(p, out);
     }
     boolean agreed =
-        p.votes.values().stream().anyMatch(at -> now - at < MembershipTimes.VOTE_VALID);
-    if (agreed || now - p.votingSinceNanos >= MembershipTimes.LONE_VOTE) {
-      suspect(p, now, out);
+        p.votes.values().stream().anyMatch(at -> now - at < MembershipConstants.VOTE_LIFETIME);
+    if (agreed || now - p.votingSinceNanos >= MembershipConstants.LONE_VOTE_DELAY) {
+      markSuspect(p, now, out);
     }
   }
 
@@ -148,45 +148,45 @@
     }
   }
 
-  private void suspect(Peer p, long now, Consumer<MembershipCommand> out) {
-    merger.setState(p, Peer.withState(p.rumor, State.SUSPECT), now);
+  private void markSuspect(Peer p, long now, Consumer<MembershipCommand> out) {
+    merger.setRumor(p, Peer.withState(p.rumor, State.SUSPECT), now);
     out.accept(new MembershipCommand.Suspected(p.host()));
     node.sendHeartbeat(p, now, out);
   }
 
-  private void expire(long now, Consumer<MembershipCommand> out) {
+  private void expireStates(long now, Consumer<MembershipCommand> out) {
     List<Peer> gone = new ArrayList<>();
     for (Peer p : node.peers.values()) {
       long age = now - p.stateSinceNanos;
       switch (p.state()) {
         case SUSPECT -> {
-          if (age >= MembershipTimes.REFUTATION && !held(p, now)) {
-            die(p, now, out);
+          if (age >= MembershipConstants.REFUTATION_TIMEOUT && !isDeathDeferred(p, now)) {
+            markDead(p, now, out);
           }
         }
         case DEAD, LEFT -> {
-          if (age > MembershipTimes.TOMBSTONE) {
+          if (age > MembershipConstants.TOMBSTONE_LIFETIME) {
             gone.add(p);
           }
         }
         case ALIVE -> {}
       }
-      if (p.live() && node.regions.purged(p.rumor.region(), now)) {
-        die(p, now, out);
+      if (p.isLive() && node.regionReachability.isPurgeDue(p.rumor.region(), now)) {
+        markDead(p, now, out);
       }
     }
     gone.forEach(p -> node.peers.remove(p.host()));
   }
 
-  private boolean held(Peer p, long now) {
+  private boolean isDeathDeferred(Peer p, long now) {
     boolean heardLately =
-        node.isNeighbour(p.host()) && now - p.heardNanos < MembershipTimes.SILENT_AFTER;
-    return heardLately || cannotJudge(now) || node.regions.unreachable(p.rumor.region());
+        node.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
+    return heardLately || isLikelyIsolated(now) || node.regionReachability.isUnreachable(p.rumor.region());
   }
 
-  private void die(Peer p, long now, Consumer<MembershipCommand> out) {
-    merger.setState(p, Peer.withState(p.rumor, State.DEAD), now);
-    node.overlayRemove(p);
-    out.accept(new MembershipCommand.Forget(p.host()));
+  private void markDead(Peer p, long now, Consumer<MembershipCommand> out) {
+    merger.setRumor(p, Peer.withState(p.rumor, State.DEAD), now);
+    node.removeFromOverlay(p);
+    out.accept(new MembershipCommand.NodeRemoved(p.host()));
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/Joiner.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FleetJoiner.java
@@ -13,26 +13,26 @@
  * addresses that are not of live nodes now and then, so that two halves of a fleet that forgot each
  * other meet again.
  */
-final class Joiner {
-  private final NodeState node;
+final class FleetJoiner {
+  private final MembershipState node;
   private final RandomGenerator random;
   private final Set<String> seeds;
-  private Set<String> listed = Set.of();
+  private Set<String> listedAddresses = Set.of();
   private boolean joined;
-  private long askedNanos;
+  private long lastJoinNanos;
 
-  Joiner(NodeState node, List<String> seeds, RandomGenerator random, long now) {
+  FleetJoiner(MembershipState node, List<String> seeds, RandomGenerator random, long now) {
     this.node = node;
     this.seeds = new LinkedHashSet<>(seeds);
     this.random = random;
-    this.askedNanos = now - MembershipTimes.JOIN_PERIOD;
+    this.lastJoinNanos = now - MembershipConstants.JOIN_PERIOD;
   }
 
-  void listed(List<String> addresses) {
-    listed = new LinkedHashSet<>(addresses);
+  void updateListedAddresses(List<String> addresses) {
+    listedAddresses = new LinkedHashSet<>(addresses);
   }
 
-  void joined() {
+  void markJoined() {
     joined = true;
   }
 
@@ -41,13 +41,13 @@
   }
 
   void tick(long now, Consumer<MembershipCommand> out) {
-    long period = joined ? MembershipTimes.REJOIN_PERIOD : MembershipTimes.JOIN_PERIOD;
-    if (now - askedNanos < period || node.leaving) {
+    long period = joined ? MembershipConstants.REJOIN_PERIOD : MembershipConstants.JOIN_PERIOD;
+    if (now - lastJoinNanos < period || node.leaving) {
       return;
     }
-    askedNanos = now;
+    lastJoinNanos = now;
     List<String> candidates = candidates();
-    int fanout = joined ? 1 : MembershipTimes.JOIN_FANOUT;
+    int fanout = joined ? 1 : MembershipConstants.JOIN_FANOUT;
     for (int i = 0; i < fanout && !candidates.isEmpty(); i++) {
       String address = candidates.remove(random.nextInt(candidates.size()));
       out.accept(
@@ -58,10 +58,10 @@
 
   private List<String> candidates() {
     Set<String> all = new LinkedHashSet<>(seeds);
-    all.addAll(listed);
+    all.addAll(listedAddresses);
     all.remove(node.self.address());
     if (joined) {
-      node.peers.values().stream().filter(Peer::live).forEach(p -> all.remove(p.rumor.address()));
+      node.peers.values().stream().filter(Peer::isLive).forEach(p -> all.remove(p.rumor.address()));
     }
     return new ArrayList<>(all);
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -23,17 +23,17 @@
   public static final Duration TICK_PERIOD = Duration.ofMillis(500);
 
   /** Ticks come a little early or late; a heartbeat that is due within this time goes out now. */
-  private static final long TICK_SLACK = Duration.ofMillis(100).toNanos();
+  private static final long TICK_TOLERANCE = Duration.ofMillis(100).toNanos();
 
-  private final NodeState node;
+  private final MembershipState node;
   private final RumorMerger merger;
   private final FailureDetector detector;
-  private final Joiner joiner;
+  private final FleetJoiner joiner;
   private final RandomGenerator random;
-  private MemberList reported;
-  private long tickedNanos;
-  private long heartbeatNanos;
-  private long syncedNanos;
+  private MemberList reportedMembers;
+  private long lastTickNanos;
+  private long lastHeartbeatNanos;
+  private long lastSyncNanos;
 
   /**
    * Creates the view of a node that knows nobody yet.
@@ -53,16 +53,16 @@
     if (incarnation < 1) {
       throw new IllegalArgumentException("incarnation must be at least 1, got " + incarnation);
     }
-    this.node = new NodeState(self, incarnation);
+    this.node = new MembershipState(self, incarnation);
     this.merger = new RumorMerger(node);
     this.detector = new FailureDetector(node, merger);
-    this.joiner = new Joiner(node, seeds, random, nowNanos);
+    this.joiner = new FleetJoiner(node, seeds, random, nowNanos);
     this.random = random;
-    this.reported = node.members(nowNanos);
-    this.tickedNanos = nowNanos;
-    this.heartbeatNanos = nowNanos;
-    this.syncedNanos = nowNanos;
-    node.selfChanged(nowNanos);
+    this.reportedMembers = node.members(nowNanos);
+    this.lastTickNanos = nowNanos;
+    this.lastHeartbeatNanos = nowNanos;
+    this.lastSyncNanos = nowNanos;
+    node.selfRumorChanged(nowNanos);
   }
 
   /**
@@ -75,14 +75,14 @@
     detectPause(nowNanos, out);
     switch (event) {
       case MembershipEvent.Tick e -> tick(nowNanos, out);
-      case MembershipEvent.Received e -> received(e, nowNanos, out);
-      case MembershipEvent.Heard e -> heard(e.from(), e.incarnation(), nowNanos);
-      case MembershipEvent.NodesListed e -> joiner.listed(e.addresses());
-      case MembershipEvent.RevisionInForce e -> node.revision = e.revision();
+      case MembershipEvent.MessageReceived e -> handleMessage(e, nowNanos, out);
+      case MembershipEvent.FrameReceived e -> recordFrame(e.from(), e.incarnation(), nowNanos);
+      case MembershipEvent.NodesListed e -> joiner.updateListedAddresses(e.addresses());
+      case MembershipEvent.ActiveRevisionChanged e -> node.activeRevision = e.revision();
       case MembershipEvent.LeaveRequested e -> leave(nowNanos, out);
     }
-    node.refreshOverlay(nowNanos);
-    report(nowNanos, out);
+    node.refreshNeighbours(nowNanos);
+    reportMembers(nowNanos, out);
   }
 
   /** Returns the current incarnation of this node. */
@@ -92,7 +92,7 @@
 
   /** Returns the live nodes as last reported by {@link MembershipCommand.MembersChanged}. */
   public MemberList members() {
-    return reported;
+    return reportedMembers;
   }
 
   /** Returns whether another node answered a request to join. */
@@ -121,13 +121,13 @@
   public Map<String, Object> dump() {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("incarnation", node.incarnation);
-    all.put("refutations", node.counter);
+    all.put("refutations", node.refutationCounter);
     all.put("joined", joiner.isJoined());
     all.put("rumors_waiting", node.rumors.size());
     all.put("observers", node.observers().stream().map(HostId::value).toList());
     all.put("observed", node.observed().stream().map(p -> p.host().value()).toList());
     all.put(
-        "unreachable_regions", node.regions.unreachable().stream().map(Object::toString).toList());
+        "unreachable_regions", node.regionReachability.unreachableRegions().stream().map(Object::toString).toList());
     Map<String, Object> known = new LinkedHashMap<>();
     node.peers.forEach(
         (host, p) ->
@@ -145,31 +145,31 @@
   }
 
   private void detectPause(long now, Consumer<MembershipCommand> out) {
-    long gap = now - tickedNanos;
-    if (gap <= MembershipTimes.PAUSE) {
+    long gap = now - lastTickNanos;
+    if (gap <= MembershipConstants.PAUSE_THRESHOLD) {
       return;
     }
-    tickedNanos = now;
-    detector.forgiveSilence(now);
-    if (gap >= MembershipTimes.FENCE_PAUSE) {
+    lastTickNanos = now;
+    detector.restartSilenceTimers(now);
+    if (gap >= MembershipConstants.FENCING_PAUSE_THRESHOLD) {
       merger.raiseIncarnation(node.incarnation + 1, gap, now, out);
     }
   }
 
   private void tick(long now, Consumer<MembershipCommand> out) {
-    tickedNanos = now;
-    node.refreshOverlay(now);
+    lastTickNanos = now;
+    node.refreshNeighbours(now);
     joiner.tick(now, out);
     detector.tick(now, out);
     long period =
-        node.rumors.isEmpty() ? MembershipTimes.HEARTBEAT : MembershipTimes.URGENT_HEARTBEAT;
-    if (now - heartbeatNanos >= period - TICK_SLACK) {
-      heartbeatNanos = now;
+        node.rumors.isEmpty() ? MembershipConstants.HEARTBEAT_PERIOD : MembershipConstants.URGENT_HEARTBEAT_PERIOD;
+    if (now - lastHeartbeatNanos >= period - TICK_TOLERANCE) {
+      lastHeartbeatNanos = now;
       sendHeartbeats(now, out);
     }
-    if (now - syncedNanos >= MembershipTimes.SYNC_PERIOD) {
-      syncedNanos = now;
-      sync(out);
+    if (now - lastSyncNanos >= MembershipConstants.SYNC_PERIOD) {
+      lastSyncNanos = now;
+      sendSyncs(out);
     }
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** Compares views with one live neighbour and with one node that is thought dead. */
-  private void sync(Consumer<MembershipCommand> out) {
+  private void sendSyncs(Consumer<MembershipCommand> out) {
     List<Peer> neighbours = new ArrayList<>(node.neighbours());
     List<Peer> dead = node.peers.values().stream().filter(p -> p.state() == State.DEAD).toList();
     for (List<Peer> candidates : List.of(neighbours, dead)) {
@@ -196,24 +196,24 @@
     }
   }
 
-  private void received(MembershipEvent.Received e, long now, Consumer<MembershipCommand> out) {
-    if (!heard(e.from(), e.incarnation(), now)) {
+  private void handleMessage(MembershipEvent.MessageReceived e, long now, Consumer<MembershipCommand> out) {
+    if (!recordFrame(e.from(), e.incarnation(), now)) {
       return;
     }
     switch (e.message()) {
       case MembershipMessage.Heartbeat m -> {
         merger.merge(m.rumors(), now, out);
         node.sendAck(e.from(), m.sequence(), now, out);
-        greet(e.from(), out);
+        syncIfUnknown(e.from(), out);
       }
       case MembershipMessage.HeartbeatAck m -> merger.merge(m.rumors(), now, out);
       case MembershipMessage.Join m -> {
         merger.merge(List.of(m.self()), now, out);
-        joiner.joined();
+        joiner.markJoined();
         reply(e.from(), new MembershipMessage.View(node.view(), false), out);
       }
-      case MembershipMessage.View m -> merge(e.from(), m, now, out);
-      case MembershipMessage.Suspicion m -> detector.voted(e.from(), m, now);
+      case MembershipMessage.View m -> mergeView(e.from(), m, now, out);
+      case MembershipMessage.Suspicion m -> detector.recordVote(e.from(), m, now);
       case MembershipMessage.Sync m -> {
         if (m.digest() != node.digest()) {
           reply(e.from(), new MembershipMessage.View(node.view(), true), out);
@@ -223,17 +223,17 @@
   }
 
   /** Asks a sender that is not known for its view. */
-  private void greet(HostId from, Consumer<MembershipCommand> out) {
+  private void syncIfUnknown(HostId from, Consumer<MembershipCommand> out) {
     if (!node.peers.containsKey(from)) {
       reply(from, new MembershipMessage.Sync(node.digest()), out);
     }
   }
 
-  private void merge(
+  private void mergeView(
       HostId from, MembershipMessage.View view, long now, Consumer<MembershipCommand> out) {
     merger.merge(view.rumors(), now, out);
-    joiner.joined();
-    if (view.replyWanted()) {
+    joiner.markJoined();
+    if (view.replyRequested()) {
       List<Rumor> newer = newerThan(view.rumors());
       if (!newer.isEmpty()) {
         reply(from, new MembershipMessage.View(newer, false), out);
@@ -251,7 +251,7 @@
               if (other == null) {
                 return true;
               }
-              int order = RumorMerger.compare(r, other);
+              int order = RumorMerger.compareVersions(r, other);
               return order > 0 || (order == 0 && r.state().compareTo(other.state()) > 0);
             })
         .toList();
@@ -262,7 +262,7 @@
   }
 
   /** Returns false when the frame is of an incarnation that was superseded. */
-  private boolean heard(HostId from, long incarnation, long now) {
+  private boolean recordFrame(HostId from, long incarnation, long now) {
     Peer p = node.peers.get(from);
     if (p == null) {
       return true;
@@ -270,26 +270,26 @@
     if (incarnation < p.rumor.incarnation()) {
       return false;
     }
-    detector.heard(p, now);
+    detector.recordFrame(p, now);
     return true;
   }
 
   private void leave(long now, Consumer<MembershipCommand> out) {
     node.leaving = true;
-    node.selfChanged(now);
+    node.selfRumorChanged(now);
     node.neighbours().forEach(p -> node.sendHeartbeat(p, now, out));
   }
 
-  private void report(long now, Consumer<MembershipCommand> out) {
+  private void reportMembers(long now, Consumer<MembershipCommand> out) {
     if (!node.membersDirty
-        && node.regions.allReachable()
-        && reported.unreachableRegions().isEmpty()) {
+        && node.regionReachability.allReachable()
+        && reportedMembers.unreachableRegions().isEmpty()) {
       return;
     }
     node.membersDirty = false;
     MemberList list = node.members(now);
-    if (!list.equals(reported)) {
-      reported = list;
+    if (!list.equals(reportedMembers)) {
+      reportedMembers = list;
       out.accept(new MembershipCommand.MembersChanged(list));
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipCommand.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipCommand.java
@@ -21,7 +21,7 @@
   record MembersChanged(MemberList list) implements MembershipCommand {}
 
   /** A node is dead or has left; connections to it can be closed. */
-  record Forget(HostId host) implements MembershipCommand {}
+  record NodeRemoved(HostId host) implements MembershipCommand {}
 
   /**
    * This node may have been declared dead while it was paused, or an earlier process under its name
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
@@ -10,11 +10,11 @@
   record Tick() implements MembershipEvent {}
 
   /** A membership message arrived. */
-  record Received(HostId from, long incarnation, MembershipMessage message)
+  record MessageReceived(HostId from, long incarnation, MembershipMessage message)
       implements MembershipEvent {}
 
   /** Any other frame arrived; it is a sign of life. */
-  record Heard(HostId from, long incarnation) implements MembershipEvent {}
+  record FrameReceived(HostId from, long incarnation) implements MembershipEvent {}
 
   /** The object service lists these peer addresses of nodes. */
   record NodesListed(List<String> addresses) implements MembershipEvent {
@@ -25,7 +25,7 @@
   }
 
   /** The manifest revision in force on this node, which heartbeats carry. */
-  record RevisionInForce(long revision) implements MembershipEvent {}
+  record ActiveRevisionChanged(long revision) implements MembershipEvent {}
 
   /** This node is about to stop. */
   record LeaveRequested() implements MembershipEvent {}
--- a/core/src/main/java/org/mustardlatch/core/membership/NodeState.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
@@ -18,28 +18,28 @@
 import org.mustardlatch.core.routing.Member;
 
 /** The state that the parts of {@link Membership} share, and the messages made from it. */
-final class NodeState {
+final class MembershipState {
   final NodeIdentity self;
   final Map<HostId, Peer> peers = new TreeMap<>();
-  final Overlay overlay = new Overlay();
+  final ObserverOverlay overlay = new ObserverOverlay();
   final RumorQueue rumors = new RumorQueue();
-  final RegionWatch regions = new RegionWatch();
+  final RegionReachability regionReachability = new RegionReachability();
   long incarnation;
-  long counter;
-  long revision;
+  long refutationCounter;
+  long activeRevision;
   boolean leaving;
-  long selfNewsUntilNanos;
+  long selfRumorUntilNanos;
 
   /** Whether the list of live nodes may differ from the one reported last. */
   boolean membersDirty;
 
-  private long heartbeats;
+  private long heartbeatSequence;
   private List<HostId> observers = List.of();
   private Set<HostId> observed = Set.of();
   private Set<HostId> neighbours = Set.of();
-  private boolean overlayChanged;
+  private boolean neighboursStale;
 
-  NodeState(NodeIdentity self, long incarnation) {
+  MembershipState(NodeIdentity self, long incarnation) {
     this.self = self;
     this.incarnation = incarnation;
     overlay.add(self.host(), self.region());
@@ -52,40 +52,40 @@
         self.zone(),
         self.address(),
         incarnation,
-        counter,
+        refutationCounter,
         leaving ? State.LEFT : State.ALIVE);
   }
 
   /** This node's own rumor changed and must be spread. */
-  void selfChanged(long now) {
+  void selfRumorChanged(long now) {
     rumors.add(selfRumor());
     membersDirty = true;
-    selfNewsUntilNanos = now + MembershipTimes.SELF_NEWS;
+    selfRumorUntilNanos = now + MembershipConstants.SELF_RUMOR_PERIOD;
   }
 
   /** Returns the number of live nodes, this one included. */
-  int size() {
-    return 1 + (int) peers.values().stream().filter(Peer::live).count();
+  int liveNodeCount() {
+    return 1 + (int) peers.values().stream().filter(Peer::isLive).count();
   }
 
-  void overlayAdd(Peer p) {
+  void addToOverlay(Peer p) {
     overlay.add(p.host(), p.rumor.region());
-    overlayChanged = true;
+    neighboursStale = true;
     membersDirty = true;
   }
 
-  void overlayRemove(Peer p) {
+  void removeFromOverlay(Peer p) {
     overlay.remove(p.host());
-    overlayChanged = true;
+    neighboursStale = true;
     membersDirty = true;
   }
 
   /** Recomputes the neighbours when the overlay changed; silence of new ones counts from now. */
-  void refreshOverlay(long now) {
-    if (!overlayChanged) {
+  void refreshNeighbours(long now) {
+    if (!neighboursStale) {
       return;
     }
-    overlayChanged = false;
+    neighboursStale = false;
     observers = overlay.observersOf(self.host());
     observed = overlay.observedBy(self.host());
     Set<HostId> all = new LinkedHashSet<>(observers);
@@ -93,7 +93,7 @@
     for (HostId h : all) {
       Peer p = peers.get(h);
       if (p != null && !neighbours.contains(h)) {
-        p.heardNanos = now;
+        p.silentSinceNanos = now;
       }
     }
     neighbours = all;
@@ -104,18 +104,18 @@
   }
 
   Collection<Peer> observed() {
-    return lookUp(observed);
+    return peersOf(observed);
   }
 
   Collection<Peer> neighbours() {
-    return lookUp(neighbours);
+    return peersOf(neighbours);
   }
 
   boolean isNeighbour(HostId host) {
     return neighbours.contains(host);
   }
 
-  private List<Peer> lookUp(Collection<HostId> hosts) {
+  private List<Peer> peersOf(Collection<HostId> hosts) {
     List<Peer> found = new ArrayList<>(hosts.size());
     for (HostId h : hosts) {
       Peer p = peers.get(h);
@@ -131,7 +131,7 @@
         new MembershipCommand.Send(
             to.host(),
             to.rumor.address(),
-            new MembershipMessage.Heartbeat(++heartbeats, revision, news(to, now))));
+            new MembershipMessage.Heartbeat(++heartbeatSequence, activeRevision, rumorsFor(to, now))));
   }
 
   void sendAck(HostId to, long sequence, long now, Consumer<MembershipCommand> out) {
@@ -140,13 +140,13 @@
         new MembershipCommand.Send(
             to,
             p == null ? null : p.rumor.address(),
-            new MembershipMessage.HeartbeatAck(sequence, revision, news(p, now))));
+            new MembershipMessage.HeartbeatAck(sequence, activeRevision, rumorsFor(p, now))));
   }
 
   /** Returns the rumors that the next message to a peer carries. */
-  List<Rumor> news(@Nullable Peer to, long now) {
-    List<Rumor> news = rumors.take(MembershipTimes.MAX_RUMORS, overlay.size());
-    if (now < selfNewsUntilNanos && news.stream().noneMatch(r -> r.host().equals(self.host()))) {
+  List<Rumor> rumorsFor(@Nullable Peer to, long now) {
+    List<Rumor> news = rumors.take(MembershipConstants.MAX_RUMORS, overlay.size());
+    if (now < selfRumorUntilNanos && news.stream().noneMatch(r -> r.host().equals(self.host()))) {
       news.add(selfRumor());
     }
     if (to != null && to.state() != State.ALIVE) {
@@ -167,7 +167,7 @@
   long digest() {
     long sum = leaving ? 0 : digest(selfRumor());
     for (Peer p : peers.values()) {
-      if (p.live()) {
+      if (p.isLive()) {
         sum += digest(p.rumor);
       }
     }
@@ -175,8 +175,8 @@
   }
 
   private static long digest(Rumor r) {
-    return Rendezvous.score(
-        Rendezvous.hash(r.host().value()), Rendezvous.score(r.incarnation(), r.counter()));
+    return RendezvousHash.score(
+        RendezvousHash.hash(r.host().value()), RendezvousHash.score(r.incarnation(), r.counter()));
   }
 
   MemberList members(long now) {
@@ -186,19 +186,19 @@
     }
     for (Peer p : peers.values()) {
       Rumor r = p.rumor;
-      if (p.live() && !regions.lost(r.region(), now)) {
+      if (p.isLive() && !regionReachability.isExcluded(r.region(), now)) {
         members.add(new Member(r.host(), r.region(), r.zone(), r.incarnation()));
       }
     }
     members.sort((a, b) -> a.host().compareTo(b.host()));
-    return new MemberList(members, regions.unreachable());
+    return new MemberList(members, regionReachability.unreachableRegions());
   }
 
   /** Returns the regions of other live nodes. */
   Set<RegionId> otherRegions() {
     Set<RegionId> found = new HashSet<>();
     for (Peer p : peers.values()) {
-      if (p.live() && !p.rumor.region().equals(self.region())) {
+      if (p.isLive() && !p.rumor.region().equals(self.region())) {
         found.add(p.rumor.region());
       }
     }
--- a/core/src/main/java/org/mustardlatch/core/membership/Overlay.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/ObserverOverlay.java
@@ -9,7 +9,7 @@
 import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeSet;
-import org.mustardlatch.core.membership.Rendezvous.Scored;
+import org.mustardlatch.core.membership.RendezvousHash.ScoredHost;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 
@@ -18,12 +18,12 @@
  * ones in rendezvous order for its name; when a region has too few, the others fill up. Kept up to
  * date node by node, because ranking all pairs anew takes 390 times as long.
  */
-final class Overlay {
+final class ObserverOverlay {
   static final int OBSERVERS = 8;
   static final int REMOTE_OBSERVERS = 2;
 
   private record Node(
-      RegionId region, long hash, NavigableSet<Scored> local, NavigableSet<Scored> remote) {}
+      RegionId region, long hash, NavigableSet<ScoredHost> local, NavigableSet<ScoredHost> remote) {}
 
   private final Map<HostId, Node> nodes = new HashMap<>();
 
@@ -31,11 +31,11 @@
     if (nodes.containsKey(host)) {
       return;
     }
-    Node added = new Node(region, Rendezvous.hash(host.value()), new TreeSet<>(), new TreeSet<>());
+    Node added = new Node(region, RendezvousHash.hash(host.value()), new TreeSet<>(), new TreeSet<>());
     nodes.forEach(
         (other, n) -> {
-          offer(n, host, added);
-          offer(added, other, n);
+          offerCandidate(n, host, added);
+          offerCandidate(added, other, n);
         });
     nodes.put(host, added);
   }
@@ -47,7 +47,7 @@
     }
     nodes.forEach(
         (other, n) -> {
-          Set<Scored> best = n.region.equals(removed.region) ? n.local : n.remote;
+          Set<ScoredHost> best = n.region.equals(removed.region) ? n.local : n.remote;
           if (best.removeIf(s -> s.host().equals(host))) {
             refill(other, n);
           }
@@ -61,7 +61,7 @@
   /** Returns the observers of a node, in order of their score; empty when it is not known. */
   List<HostId> observersOf(HostId host) {
     Node n = nodes.get(host);
-    return n == null ? List.of() : chosen(n).stream().map(Scored::host).toList();
+    return n == null ? List.of() : selectObservers(n).stream().map(ScoredHost::host).toList();
   }
 
   /** Returns the nodes that this one observes. */
@@ -69,29 +69,29 @@
     Set<HostId> observed = new LinkedHashSet<>();
     nodes.forEach(
         (other, n) -> {
-          if (chosen(n).stream().anyMatch(s -> s.host().equals(observer))) {
+          if (selectObservers(n).stream().anyMatch(s -> s.host().equals(observer))) {
             observed.add(other);
           }
         });
     return observed;
   }
 
-  private static Collection<Scored> chosen(Node n) {
+  private static Collection<ScoredHost> selectObservers(Node n) {
     int remote = Math.min(n.remote.size(), Math.max(REMOTE_OBSERVERS, OBSERVERS - n.local.size()));
     int local = Math.min(n.local.size(), OBSERVERS - remote);
-    List<Scored> all = new ArrayList<>(OBSERVERS);
+    List<ScoredHost> all = new ArrayList<>(OBSERVERS);
     n.local.stream().limit(local).forEach(all::add);
     n.remote.stream().limit(remote).forEach(all::add);
     return all;
   }
 
-  private static void offer(Node to, HostId host, Node candidate) {
-    NavigableSet<Scored> best = to.region.equals(candidate.region) ? to.local : to.remote;
-    long score = Rendezvous.score(to.hash, candidate.hash);
+  private static void offerCandidate(Node to, HostId host, Node candidate) {
+    NavigableSet<ScoredHost> best = to.region.equals(candidate.region) ? to.local : to.remote;
+    long score = RendezvousHash.score(to.hash, candidate.hash);
     if (best.size() == OBSERVERS && score < best.last().score()) {
       return;
     }
-    best.add(new Scored(host, score));
+    best.add(new ScoredHost(host, score));
     if (best.size() > OBSERVERS) {
       best.pollLast();
     }
@@ -101,7 +101,7 @@
     nodes.forEach(
         (other, candidate) -> {
           if (!other.equals(host)) {
-            offer(n, other, candidate);
+            offerCandidate(n, other, candidate);
           }
         });
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/Peer.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Peer.java
@@ -14,21 +14,21 @@
   long stateSinceNanos;
 
   /** The last frame from it, or the time from which silence counts. */
-  long heardNanos;
+  long silentSinceNanos;
 
   /** Since when this node votes against it; meaningful while {@link #voting}. */
   long votingSinceNanos;
 
   boolean voting;
-  long votedNanos;
-  long probedNanos;
+  long lastVoteNanos;
+  long lastProbeNanos;
   final Map<HostId, Long> votes = new HashMap<>();
 
   Peer(Rumor rumor, long now) {
     this.rumor = rumor;
     this.stateSinceNanos = now;
-    this.heardNanos = now;
-    this.probedNanos = now;
+    this.silentSinceNanos = now;
+    this.lastProbeNanos = now;
   }
 
   HostId host() {
@@ -40,12 +40,12 @@
   }
 
   /** Returns whether the node is alive as far as is known; suspected nodes are. */
-  boolean live() {
+  boolean isLive() {
     return rumor.state() == State.ALIVE || rumor.state() == State.SUSPECT;
   }
 
-  void heard(long now) {
-    heardNanos = now;
+  void recordFrame(long now) {
+    silentSinceNanos = now;
     clearVotes();
   }
 
--- a/core/src/main/java/org/mustardlatch/core/membership/Rendezvous.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RendezvousHash.java
@@ -10,19 +10,19 @@
 import org.mustardlatch.core.model.HostId;
 
 /** Rendezvous hashing: every node ranks the hosts for a key in the same order. */
-public final class Rendezvous {
+public final class RendezvousHash {
   private static final HashFunction HASH = Hashing.farmHashFingerprint64();
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /** Returns at most {@code count} hosts, the owner of the key first. */
   public static List<HostId> rank(String key, Collection<HostId> hosts, int count) {
     long k = hash(key);
     return hosts.stream()
-        .map(h -> new Scored(h, score(k, hash(h.value()))))
+        .map(h -> new ScoredHost(h, score(k, hash(h.value()))))
         .sorted(Comparator.naturalOrder())
         .limit(count)
-        .map(Scored::host)
+        .map(ScoredHost::host)
         .toList();
   }
 
@@ -45,9 +45,9 @@
   }
 
   /** A host with its score for some key; the highest score comes first. */
-  record Scored(HostId host, long score) implements Comparable<Scored> {
+  record ScoredHost(HostId host, long score) implements Comparable<ScoredHost> {
     @Override
-    public int compareTo(Scored other) {
+    public int compareTo(ScoredHost other) {
       int byScore = Long.compare(other.score, score);
       return byScore != 0 ? byScore : host.compareTo(other.host);
     }
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorMerger.java
@@ -7,73 +7,73 @@
 
 /** Merges rumors of others into the state, and refutes those about this node. */
 final class RumorMerger {
-  private final NodeState node;
+  private final MembershipState node;
 
-  RumorMerger(NodeState node) {
+  RumorMerger(MembershipState node) {
     this.node = node;
   }
 
   void merge(List<Rumor> rumors, long now, Consumer<MembershipCommand> out) {
     for (Rumor r : rumors) {
       if (r.host().equals(node.self.host())) {
-        aboutSelf(r, now, out);
+        mergeSelfRumor(r, now, out);
       } else {
-        aboutPeer(r, now, out);
+        mergePeerRumor(r, now, out);
       }
     }
   }
 
-  private void aboutSelf(Rumor r, long now, Consumer<MembershipCommand> out) {
+  private void mergeSelfRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
     if (r.incarnation() > node.incarnation) {
       // An earlier process under this name had a clock that was ahead.
       raiseIncarnation(r.incarnation() + 1, 0, now, out);
     } else if (r.incarnation() == node.incarnation
-        && r.counter() >= node.counter
+        && r.counter() >= node.refutationCounter
         && r.state() != State.ALIVE
         && !node.leaving) {
-      node.counter = r.counter() + 1;
-      node.selfChanged(now);
+      node.refutationCounter = r.counter() + 1;
+      node.selfRumorChanged(now);
     }
   }
 
   /** Starts a new incarnation; attempts of the earlier one are void. */
   void raiseIncarnation(long to, long pausedNanos, long now, Consumer<MembershipCommand> out) {
     node.incarnation = to;
-    node.counter = 0;
-    node.selfChanged(now);
+    node.refutationCounter = 0;
+    node.selfRumorChanged(now);
     out.accept(new MembershipCommand.Fenced(to, pausedNanos));
   }
 
-  private void aboutPeer(Rumor r, long now, Consumer<MembershipCommand> out) {
+  private void mergePeerRumor(Rumor r, long now, Consumer<MembershipCommand> out) {
     Peer p = node.peers.get(r.host());
     if (p == null) {
       // Unknown dead nodes are not recorded, or their records would be passed on without end.
       if (r.state() == State.ALIVE || r.state() == State.SUSPECT) {
         Peer added = new Peer(r, now);
         node.peers.put(r.host(), added);
-        node.overlayAdd(added);
+        node.addToOverlay(added);
         node.rumors.add(r);
       }
       return;
     }
-    int order = compare(r, p.rumor);
+    int order = compareVersions(r, p.rumor);
     if (order > 0 || (order == 0 && r.state().compareTo(p.state()) > 0)) {
-      replace(p, r, now, out);
+      updatePeer(p, r, now, out);
     }
   }
 
-  private void replace(Peer p, Rumor r, long now, Consumer<MembershipCommand> out) {
-    boolean wasLive = p.live();
+  private void updatePeer(Peer p, Rumor r, long now, Consumer<MembershipCommand> out) {
+    boolean wasLive = p.isLive();
     boolean wasAlive = p.state() == State.ALIVE;
     // A death that was not announced by a suspicion becomes one, so that the node can refute it.
     State state = r.state() == State.DEAD && wasAlive ? State.SUSPECT : r.state();
-    setState(p, Peer.withState(r, state), now);
-    if (p.live() && !wasLive) {
-      p.heardNanos = now;
-      node.overlayAdd(p);
-    } else if (!p.live() && wasLive) {
-      node.overlayRemove(p);
-      out.accept(new MembershipCommand.Forget(p.host()));
+    setRumor(p, Peer.withState(r, state), now);
+    if (p.isLive() && !wasLive) {
+      p.silentSinceNanos = now;
+      node.addToOverlay(p);
+    } else if (!p.isLive() && wasLive) {
+      node.removeFromOverlay(p);
+      out.accept(new MembershipCommand.NodeRemoved(p.host()));
     }
     if (p.state() == State.SUSPECT) {
       out.accept(new MembershipCommand.Suspected(p.host()));
@@ -84,7 +84,7 @@
   }
 
   /** Gives a peer a new rumor and spreads it. */
-  void setState(Peer p, Rumor rumor, long now) {
+  void setRumor(Peer p, Rumor rumor, long now) {
     node.membersDirty |= rumor.incarnation() != p.rumor.incarnation();
     p.rumor = rumor;
     p.stateSinceNanos = now;
@@ -93,7 +93,7 @@
   }
 
   /** Compares by incarnation and refutation counter. */
-  static int compare(Rumor a, Rumor b) {
+  static int compareVersions(Rumor a, Rumor b) {
     int byIncarnation = Long.compare(a.incarnation(), b.incarnation());
     return byIncarnation != 0 ? byIncarnation : Long.compare(a.counter(), b.counter());
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RumorQueue.java
@@ -12,7 +12,7 @@
 final class RumorQueue {
   private static final class Entry {
     final Rumor rumor;
-    int sent;
+    int timesSent;
 
     Entry(Rumor rumor) {
       this.rumor = rumor;
@@ -41,14 +41,14 @@
     }
     List<Entry> chosen = new ArrayList<>(entries.values());
     if (chosen.size() > max) {
-      chosen.sort(Comparator.comparingInt(e -> e.sent));
+      chosen.sort(Comparator.comparingInt(e -> e.timesSent));
       chosen = chosen.subList(0, max);
     }
-    int limit = retransmissions(fleetSize);
+    int limit = maxTransmissions(fleetSize);
     List<Rumor> rumors = new ArrayList<>(chosen.size() + 2);
     for (Entry e : chosen) {
       rumors.add(e.rumor);
-      if (++e.sent >= limit) {
+      if (++e.timesSent >= limit) {
         entries.remove(e.rumor.host());
       }
     }
@@ -56,8 +56,8 @@
   }
 
   /** Returns how often each node sends a rumor in a fleet of this size. */
-  static int retransmissions(int fleetSize) {
+  static int maxTransmissions(int fleetSize) {
     int log = Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, fleetSize));
-    return MembershipTimes.RETRANSMIT_FACTOR * log;
+    return MembershipConstants.RETRANSMIT_FACTOR * log;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
@@ -6,9 +6,9 @@
    * Asks the owner of a budget for units.
    *
    * @param budget name of the budget, for example {@code workspace/vevstua}
-   * @param wanted units that the node expects to spend within one lease time
+   * @param requestedUnits units that the node expects to spend within one lease time
    */
-  record BudgetLeaseRequest(String budget, double wanted) implements BudgetMessage {}
+  record BudgetLeaseRequest(String budget, double requestedUnits) implements BudgetMessage {}
 
   /**
    * Units that the receiver may spend.
--- a/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
@@ -22,15 +22,15 @@
    *     another request digest
    * @param nonce the asked attempt when the record is its own, else empty
    * @param status HTTP status of the recorded answer; 0 when there is none
-   * @param answer the recorded answer, or null
+   * @param response the recorded answer, or null
    */
   record LedgerStarted(
       String key,
-      String askedNonce,
+      String requestedNonce,
       String state,
       String nonce,
       int status,
-      @Nullable String answer)
+      @Nullable String response)
       implements LedgerMessage {}
 
   /**
@@ -39,6 +39,6 @@
    * @param state FINISHED or UNKNOWN
    */
   record LedgerFinish(
-      int shard, String key, String nonce, String state, int status, @Nullable String answer)
+      int shard, String key, String nonce, String state, int status, @Nullable String response)
       implements LedgerMessage {}
 }
--- a/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
@@ -62,9 +62,9 @@
   /**
    * The view of the sender, in answer to a join or to a digest that differs.
    *
-   * @param replyWanted whether the receiver must answer with the rumors that are newer in its view
+   * @param replyRequested whether the receiver must answer with the rumors that are newer in its view
    */
-  record View(List<Rumor> rumors, boolean replyWanted) implements MembershipMessage {
+  record View(List<Rumor> rumors, boolean replyRequested) implements MembershipMessage {
     /** Copies the list. */
     public View {
       rumors = List.copyOf(rumors);
--- a/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/CrashEvidence.java
@@ -22,7 +22,7 @@
   public static final int MAX_FINGERPRINTS = 20_000;
 
   /** What is known about a fingerprint. */
-  public enum Standing {
+  public enum SuspicionLevel {
     /** No crash is known. */
     CLEAN,
     /** It was on one engine that crashed, perhaps with others. */
@@ -32,8 +32,8 @@
   }
 
   private static final class Entry {
-    final Set<String> crashes = new HashSet<>();
-    long lastNanos;
+    final Set<String> crashIds = new HashSet<>();
+    long lastCrashNanos;
   }
 
   private final LinkedHashMap<Fingerprint, Entry> entries = new LinkedHashMap<>();
@@ -48,35 +48,35 @@
    * @param crashId name of the crash, unique in the fleet
    * @param nowNanos monotonic time of this node
    */
-  public void crashed(String crashId, List<Fingerprint> running, long nowNanos) {
+  public void recordCrash(String crashId, List<Fingerprint> running, long nowNanos) {
     for (Fingerprint f : running) {
       Entry e = entries.remove(f);
-      if (e == null || expired(e, nowNanos)) {
+      if (e == null || isExpired(e, nowNanos)) {
         e = new Entry();
       }
-      if (e.crashes.size() < QUARANTINE_CRASHES) {
-        e.crashes.add(crashId);
+      if (e.crashIds.size() < QUARANTINE_CRASHES) {
+        e.crashIds.add(crashId);
       }
-      e.lastNanos = nowNanos;
+      e.lastCrashNanos = nowNanos;
       // Insertion order is order of the last crash, so the eldest entry is the first to expire.
       entries.put(f, e);
     }
-    trim(nowNanos);
+    evictOldest(nowNanos);
   }
 
   /** Returns what is known about a fingerprint now. */
-  public Standing standing(Fingerprint fingerprint, long nowNanos) {
+  public SuspicionLevel suspicionLevel(Fingerprint fingerprint, long nowNanos) {
     Entry e = entries.get(fingerprint);
-    if (e == null || expired(e, nowNanos)) {
-      return Standing.CLEAN;
+    if (e == null || isExpired(e, nowNanos)) {
+      return SuspicionLevel.CLEAN;
     }
-    return e.crashes.size() >= QUARANTINE_CRASHES ? Standing.QUARANTINED : Standing.SUSPECT;
+    return e.crashIds.size() >= QUARANTINE_CRASHES ? SuspicionLevel.QUARANTINED : SuspicionLevel.SUSPECT;
   }
 
   /** Forgets a suspect that ran to its end without a crash; a quarantine stays. */
   public void clear(Fingerprint fingerprint) {
     Entry e = entries.get(fingerprint);
-    if (e != null && e.crashes.size() < QUARANTINE_CRASHES) {
+    if (e != null && e.crashIds.size() < QUARANTINE_CRASHES) {
       entries.remove(fingerprint);
     }
   }
@@ -86,18 +86,18 @@
     return entries.size();
   }
 
-  private void trim(long nowNanos) {
+  private void evictOldest(long nowNanos) {
     var eldest = entries.entrySet().iterator();
     while (eldest.hasNext()) {
       Map.Entry<Fingerprint, Entry> e = eldest.next();
-      if (entries.size() <= MAX_FINGERPRINTS && !expired(e.getValue(), nowNanos)) {
+      if (entries.size() <= MAX_FINGERPRINTS && !isExpired(e.getValue(), nowNanos)) {
         return;
       }
       eldest.remove();
     }
   }
 
-  private static boolean expired(Entry e, long nowNanos) {
-    return nowNanos - e.lastNanos >= LIFETIME_NANOS;
+  private static boolean isExpired(Entry e, long nowNanos) {
+    return nowNanos - e.lastCrashNanos >= LIFETIME_NANOS;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRuns.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRunPermissions.java
@@ -9,16 +9,16 @@
  * Permissions that the owner of suspect fingerprints gave. At most one attempt of a suspect runs at
  * a time, so that a second crash is known before the next attempt starts.
  */
-public final class SuspectRuns {
+public final class SuspectRunPermissions {
   /** A permission ends after this time even when no end was heard of, nanoseconds. */
-  public static final long PERMISSION_NANOS = 30_000_000_000L;
+  public static final long PERMISSION_LIFETIME_NANOS = 30_000_000_000L;
 
-  private record Run(String attempt, long untilNanos) {}
+  private record Permission(String attempt, long expiresNanos) {}
 
-  private final Map<Fingerprint, Run> runs = new HashMap<>();
+  private final Map<Fingerprint, Permission> permissions = new HashMap<>();
 
   /** Creates a record without permissions. */
-  public SuspectRuns() {}
+  public SuspectRunPermissions() {}
 
   /**
    * Answers a request to run.
@@ -27,29 +27,29 @@
    * @param standing what the owner knows about the fingerprint
    * @param nowNanos monotonic time of this node
    */
-  public Verdict ask(
-      Fingerprint fingerprint, String attempt, CrashEvidence.Standing standing, long nowNanos) {
-    if (standing == CrashEvidence.Standing.QUARANTINED) {
+  public Verdict requestRun(
+      Fingerprint fingerprint, String attempt, CrashEvidence.SuspicionLevel standing, long nowNanos) {
+    if (standing == CrashEvidence.SuspicionLevel.QUARANTINED) {
       return Verdict.QUARANTINED;
     }
-    if (standing == CrashEvidence.Standing.CLEAN) {
+    if (standing == CrashEvidence.SuspicionLevel.CLEAN) {
       return Verdict.RUN;
     }
-    Run run = runs.get(fingerprint);
-    if (run != null && nowNanos < run.untilNanos() && !run.attempt().equals(attempt)) {
+    Permission run = permissions.get(fingerprint);
+    if (run != null && nowNanos < run.expiresNanos() && !run.attempt().equals(attempt)) {
       return Verdict.WAIT;
     }
-    runs.put(fingerprint, new Run(attempt, nowNanos + PERMISSION_NANOS));
+    permissions.put(fingerprint, new Permission(attempt, nowNanos + PERMISSION_LIFETIME_NANOS));
     return Verdict.RUN;
   }
 
   /** Ends the permission of a fingerprint whose run crashed or finished. */
-  public void ended(Fingerprint fingerprint) {
-    runs.remove(fingerprint);
+  public void runEnded(Fingerprint fingerprint) {
+    permissions.remove(fingerprint);
   }
 
   /** Drops permissions that have ended. */
   public void expire(long nowNanos) {
-    runs.values().removeIf(r -> nowNanos >= r.untilNanos());
+    permissions.values().removeIf(r -> nowNanos >= r.expiresNanos());
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/Acceptance.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/AcceptanceRule.java
@@ -12,10 +12,10 @@
 import org.mustardlatch.core.routing.Member;
 
 /** When a published revision is accepted: in force on enough hosts that it can't be lost. */
-final class Acceptance {
-  static final int HOSTS = 3;
+final class AcceptanceRule {
+  static final int MIN_HOSTS = 3;
 
-  private Acceptance() {}
+  private AcceptanceRule() {}
 
   /**
    * Returns whether three nodes on different hosts (all, if fewer are alive), among them one in
@@ -23,14 +23,14 @@
    *
    * @param revisions revision in force by host, this node's included
    */
-  static boolean accepted(long revision, MemberList list, Map<HostId, Long> revisions) {
+  static boolean isAccepted(long revision, MemberList list, Map<HostId, Long> revisions) {
     List<Member> reachable =
         list.members().stream()
             .filter(m -> !list.unreachableRegions().contains(m.region()))
             .toList();
     List<Member> holders =
         reachable.stream().filter(m -> revisions.getOrDefault(m.host(), 0L) >= revision).toList();
-    return holders.size() >= Math.min(HOSTS, reachable.size())
+    return holders.size() >= Math.min(MIN_HOSTS, reachable.size())
         && regions(holders).containsAll(regions(reachable));
   }
 
--- a/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
@@ -10,26 +10,26 @@
   static final long PEERS_ONLY_WAIT = Duration.ofSeconds(4).toNanos();
 
   private boolean storeRead;
-  private boolean contact;
-  private long quietSinceNanos;
-  private long highest;
+  private boolean peerReported;
+  private long highestSinceNanos;
+  private long highestRevision;
 
-  void storeRead(long revision) {
+  void recordStoreRead(long revision) {
     storeRead = true;
-    highest = Math.max(highest, revision);
+    highestRevision = Math.max(highestRevision, revision);
   }
 
   /** A peer has a revision in force. */
-  void heard(long revision, long now) {
-    if (!contact || revision > highest) {
-      contact = true;
-      highest = Math.max(highest, revision);
-      quietSinceNanos = now;
+  void recordPeerRevision(long revision, long now) {
+    if (!peerReported || revision > highestRevision) {
+      peerReported = true;
+      highestRevision = Math.max(highestRevision, revision);
+      highestSinceNanos = now;
     }
   }
 
-  boolean ready(long revision, long now) {
-    boolean recent = storeRead || (contact && now - quietSinceNanos >= PEERS_ONLY_WAIT);
-    return revision > 0 && revision >= highest && recent;
+  boolean isReady(long revision, long now) {
+    boolean recent = storeRead || (peerReported && now - highestSinceNanos >= PEERS_ONLY_WAIT);
+    return revision > 0 && revision >= highestRevision && recent;
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.membership.MemberList;
-import org.mustardlatch.core.membership.Rendezvous;
+import org.mustardlatch.core.membership.RendezvousHash;
 import org.mustardlatch.core.model.HostId;
 import org.mustardlatch.core.model.RegionId;
 import org.mustardlatch.core.peer.RolloutMessage;
@@ -43,26 +43,26 @@
    */
   private static final long FETCH_TIMEOUT = Duration.ofMillis(400).toNanos();
 
-  private record Fetch(long revision, HostId from, long atNanos) {
-    boolean late(long now) {
-      return now - atNanos >= FETCH_TIMEOUT;
+  private record Fetch(long revision, HostId from, long sentNanos) {
+    boolean timedOut(long now) {
+      return now - sentNanos >= FETCH_TIMEOUT;
     }
   }
 
   private final HostId self;
   private final Readiness readiness = new Readiness();
-  private final Map<HostId, Long> revisions = new TreeMap<>();
+  private final Map<HostId, Long> peerRevisions = new TreeMap<>();
   private MemberList members = new MemberList(List.of(), Set.of());
   private List<HostId> neighbours = List.of();
   private long revision;
   private String text = "";
   private String digest = "";
-  private long applying;
+  private long applyingRevision;
   private String applyingText = "";
-  private long rejected;
-  private long awaitingAcceptance;
+  private long rejectedRevision;
+  private long awaitedRevision;
   private @Nullable Fetch fetch;
-  private @Nullable HostId source;
+  private @Nullable HostId applyingSource;
   private boolean watching;
   private boolean ready;
 
@@ -80,21 +80,21 @@
   public void handle(RolloutEvent event, long nowNanos, Consumer<RolloutCommand> out) {
     switch (event) {
       case RolloutEvent.Tick e -> retryFetch(nowNanos, out);
-      case RolloutEvent.Received e -> received(e.from(), e.message(), nowNanos, out);
-      case RolloutEvent.RevisionHeard e -> heard(e.from(), e.revision(), nowNanos, out);
+      case RolloutEvent.MessageReceived e -> handleMessage(e.from(), e.message(), nowNanos, out);
+      case RolloutEvent.PeerRevisionReported e -> recordPeerRevision(e.from(), e.revision(), nowNanos, out);
       case RolloutEvent.MembersChanged e -> membersChanged(e, out);
-      case RolloutEvent.Stored e -> {
-        readiness.storeRead(e.revision());
+      case RolloutEvent.StoreRead e -> {
+        readiness.recordStoreRead(e.revision());
         apply(e.revision(), e.text(), null, out);
       }
       case RolloutEvent.Published e -> {
-        awaitingAcceptance = Math.max(awaitingAcceptance, e.revision());
+        awaitedRevision = Math.max(awaitedRevision, e.revision());
         apply(e.revision(), e.text(), null, out);
       }
       case RolloutEvent.Applied e -> applied(e.revision(), out);
       case RolloutEvent.Rejected e -> {
-        rejected = Math.max(rejected, e.revision());
-        applying = 0;
+        rejectedRevision = Math.max(rejectedRevision, e.revision());
+        applyingRevision = 0;
       }
     }
     checkAccepted(out);
@@ -128,42 +128,42 @@
     all.put("digest", digest);
     all.put("ready", ready);
     all.put("watching", watching);
-    all.put("rejected", rejected);
-    all.put("awaiting_acceptance", awaitingAcceptance);
+    all.put("rejected", rejectedRevision);
+    all.put("awaiting_acceptance", awaitedRevision);
     Map<String, Long> known = new LinkedHashMap<>();
-    revisions.forEach((host, r) -> known.put(host.value(), r));
+    peerRevisions.forEach((host, r) -> known.put(host.value(), r));
     all.put("revisions", known);
     return all;
   }
 
-  private void received(
+  private void handleMessage(
       HostId from, RolloutMessage message, long now, Consumer<RolloutCommand> out) {
     switch (message) {
-      case ConfigOffer m -> heard(from, m.revision(), now, out);
-      case ConfigApplied m -> heard(from, m.revision(), now, out);
+      case ConfigOffer m -> recordPeerRevision(from, m.revision(), now, out);
+      case ConfigApplied m -> recordPeerRevision(from, m.revision(), now, out);
       case ConfigFetch m -> {
         if (revision >= m.revision()) {
           out.accept(new RolloutCommand.Send(from, new ConfigBody(revision, text)));
         }
       }
       case ConfigBody m -> {
-        readiness.heard(m.revision(), now);
+        readiness.recordPeerRevision(m.revision(), now);
         apply(m.revision(), m.text(), from, out);
       }
     }
   }
 
   /** Another node has a revision in force. */
-  private void heard(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
-    revisions.put(from, theirs);
-    readiness.heard(theirs, now);
-    if (wanted(theirs) && (fetch == null || fetch.revision() < theirs || fetch.late(now))) {
+  private void recordPeerRevision(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
+    peerRevisions.put(from, theirs);
+    readiness.recordPeerRevision(theirs, now);
+    if (shouldFetch(theirs) && (fetch == null || fetch.revision() < theirs || fetch.timedOut(now))) {
       fetchFrom(from, theirs, now, out);
     }
   }
 
-  private boolean wanted(long theirs) {
-    return theirs > revision && theirs > applying && theirs > rejected;
+  private boolean shouldFetch(long theirs) {
+    return theirs > revision && theirs > applyingRevision && theirs > rejectedRevision;
   }
 
   private void fetchFrom(HostId from, long theirs, long now, Consumer<RolloutCommand> out) {
@@ -177,9 +177,9 @@
     if (f == null) {
       return;
     }
-    if (!wanted(f.revision())) {
+    if (!shouldFetch(f.revision())) {
       fetch = null;
-    } else if (f.late(now)) {
+    } else if (f.timedOut(now)) {
       HostId next = nextHolder(f);
       if (next == null) {
         fetch = null;
@@ -192,7 +192,7 @@
   /** Returns a holder of the revision, the next one after the host that did not answer. */
   private @Nullable HostId nextHolder(Fetch f) {
     List<HostId> holders =
-        revisions.entrySet().stream()
+        peerRevisions.entrySet().stream()
             .filter(e -> e.getValue() >= f.revision())
             .map(Map.Entry::getKey)
             .toList();
@@ -203,45 +203,45 @@
   }
 
   private void apply(long to, String newText, @Nullable HostId from, Consumer<RolloutCommand> out) {
-    if (wanted(to)) {
-      applying = to;
+    if (shouldFetch(to)) {
+      applyingRevision = to;
       applyingText = newText;
-      source = from;
+      applyingSource = from;
       out.accept(new RolloutCommand.Apply(to, newText));
     }
   }
 
   private void applied(long to, Consumer<RolloutCommand> out) {
-    if (to != applying || to <= revision) {
+    if (to != applyingRevision || to <= revision) {
       return;
     }
     revision = to;
     text = applyingText;
     digest = Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
-    applying = 0;
+    applyingRevision = 0;
     applyingText = "";
-    HostId from = source;
+    HostId from = applyingSource;
     if (from != null) {
       out.accept(new RolloutCommand.Send(from, new ConfigApplied(to)));
     }
-    for (HostId h : targets()) {
-      if (!h.equals(from) && revisions.getOrDefault(h, 0L) < to) {
+    for (HostId h : offerTargets()) {
+      if (!h.equals(from) && peerRevisions.getOrDefault(h, 0L) < to) {
         out.accept(new RolloutCommand.Send(h, new ConfigOffer(to, digest)));
       }
     }
   }
 
   /** Returns the neighbours and, for a publisher, one more node in each region without one. */
-  private Collection<HostId> targets() {
+  private Collection<HostId> offerTargets() {
     Set<HostId> targets = new LinkedHashSet<>(neighbours);
-    if (awaitingAcceptance >= revision) {
+    if (awaitedRevision >= revision) {
       Map<RegionId, List<HostId>> byRegion = new TreeMap<>();
       for (Member m : members.members()) {
         byRegion.computeIfAbsent(m.region(), r -> new ArrayList<>()).add(m.host());
       }
       for (List<HostId> hosts : byRegion.values()) {
         if (hosts.stream().noneMatch(targets::contains)) {
-          targets.addAll(Rendezvous.rank(WATCH_KEY, hosts, 1));
+          targets.addAll(RendezvousHash.rank(WATCH_KEY, hosts, 1));
         }
       }
     }
@@ -254,7 +254,7 @@
     neighbours = e.neighbours();
     Set<HostId> live = new LinkedHashSet<>();
     members.members().forEach(m -> live.add(m.host()));
-    revisions.keySet().retainAll(live);
+    peerRevisions.keySet().retainAll(live);
     boolean watch = watchers().contains(self);
     if (watch != watching) {
       watching = watch;
@@ -275,23 +275,23 @@
             .filter(m -> m.region().equals(region))
             .map(Member::host)
             .toList();
-    return Rendezvous.rank(WATCH_KEY, hosts, WATCHERS);
+    return RendezvousHash.rank(WATCH_KEY, hosts, WATCHERS);
   }
 
   private void checkAccepted(Consumer<RolloutCommand> out) {
-    long awaited = awaitingAcceptance;
+    long awaited = awaitedRevision;
     if (awaited == 0 || revision < awaited) {
       return;
     }
-    revisions.put(self, revision);
-    if (Acceptance.accepted(awaited, members, revisions)) {
-      awaitingAcceptance = 0;
+    peerRevisions.put(self, revision);
+    if (AcceptanceRule.isAccepted(awaited, members, peerRevisions)) {
+      awaitedRevision = 0;
       out.accept(new RolloutCommand.Accepted(awaited));
     }
   }
 
   private void checkReady(long now, Consumer<RolloutCommand> out) {
-    if (!ready && readiness.ready(revision, now)) {
+    if (!ready && readiness.isReady(revision, now)) {
       ready = true;
       out.accept(new RolloutCommand.Ready(revision));
     }
--- a/core/src/main/java/org/mustardlatch/core/rollout/RolloutEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/RolloutEvent.java
@@ -11,10 +11,10 @@
   record Tick() implements RolloutEvent {}
 
   /** A configuration message arrived. */
-  record Received(HostId from, RolloutMessage message) implements RolloutEvent {}
+  record MessageReceived(HostId from, RolloutMessage message) implements RolloutEvent {}
 
   /** A heartbeat said which revision another node has in force; 0 for none. */
-  record RevisionHeard(HostId from, long revision) implements RolloutEvent {}
+  record PeerRevisionReported(HostId from, long revision) implements RolloutEvent {}
 
   /**
    * The live nodes or the overlay changed.
@@ -31,7 +31,7 @@
   /**
    * The object service was read or its watch fired; revision 0 with empty text when it has none.
    */
-  record Stored(long revision, String text) implements RolloutEvent {}
+  record StoreRead(long revision, String text) implements RolloutEvent {}
 
   /** This node stored a revision in the object service for an operator. */
   record Published(long revision, String text) implements RolloutEvent {}
--- a/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/AttemptStarter.java
@@ -9,7 +9,7 @@
 import org.mustardlatch.core.peer.EvidenceMessage.RunRequest;
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 import org.mustardlatch.core.quarantine.CrashEvidence;
-import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
+import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 
 /** Finds a cell for a request, after the permission that a suspect needs. */
 final class AttemptStarter {
@@ -83,10 +83,10 @@
       ends.refuse(q, ErrorCode.DEADLINE_EXCEEDED, "the final deadline passed", Duration.ZERO);
       return;
     }
-    Standing standing = evidence.standing(q.request.fingerprint(), now);
-    if (standing == Standing.QUARANTINED) {
+    SuspicionLevel standing = evidence.suspicionLevel(q.request.fingerprint(), now);
+    if (standing == SuspicionLevel.QUARANTINED) {
       quarantined(q);
-    } else if (standing == Standing.SUSPECT && !q.permitted) {
+    } else if (standing == SuspicionLevel.SUSPECT && !q.permitted) {
       askPermission(q);
     } else {
       attempt(q);
--- a/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/CellAdmission.java
@@ -27,7 +27,7 @@
 import org.mustardlatch.core.peer.AdmissionMessage.ReserveRefused;
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 import org.mustardlatch.core.quarantine.CrashEvidence;
-import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
+import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 
 /** Admission to one cell: reservations, the queue, and what was learned about its engines. */
 final class CellAdmission {
@@ -141,7 +141,7 @@
       return;
     }
     learnSize(ask);
-    if (evidence.standing(ask.fingerprint(), fx.now()) == Standing.QUARANTINED) {
+    if (evidence.suspicionLevel(ask.fingerprint(), fx.now()) == SuspicionLevel.QUARANTINED) {
       refuse(ask, ErrorCode.REQUEST_QUARANTINED, Duration.ZERO);
       return;
     }
@@ -341,7 +341,7 @@
     if (ask.source() == null && !link.hasRoom()) {
       return Result.NO_ROOM;
     }
-    boolean suspect = evidence.standing(ask.fingerprint(), now) != Standing.CLEAN;
+    boolean suspect = evidence.suspicionLevel(ask.fingerprint(), now) != SuspicionLevel.CLEAN;
     Placer.Placement p = placer.place(ask, suspect, link, now < handoverUntilNanos, now);
     if (p == null) {
       return Result.NO_ROOM;
--- a/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EntrySide.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.jspecify.annotations.Nullable;
-import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.balancing.RetryBudget;
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.manifest.Manifest;
 import org.mustardlatch.core.manifest.Model;
@@ -20,7 +20,7 @@
 import org.mustardlatch.core.peer.AdmissionMessage.Stage;
 import org.mustardlatch.core.peer.EvidenceMessage.RunPermission;
 import org.mustardlatch.core.quarantine.CrashEvidence;
-import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
+import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 import org.mustardlatch.core.routing.RequestTable.Found;
 
 /** The requests of this node's callers, from arrival to the one final answer. */
@@ -51,8 +51,8 @@
   private final AttemptDriver driver;
   private final AttemptTimes times;
   private final AttemptStarter starter;
-  private final RepeatBudget retries = new RepeatBudget(RETRY_UNITS, MAX_RETRY_UNITS);
-  private final RepeatBudget hedges = new RepeatBudget(1, 5);
+  private final RetryBudget retries = new RetryBudget(RETRY_UNITS, MAX_RETRY_UNITS);
+  private final RetryBudget hedges = new RetryBudget(1, 5);
   private final Crossing crossing;
   private final RequestTable requests = new RequestTable();
   private Topology topology;
@@ -97,7 +97,7 @@
     starter.topologyChanged(next);
     chooser.keep(next);
     // Below one unit nothing could ever be repeated.
-    retries.limit(Math.max(1, FLEET_RETRY_UNITS / Math.max(LEAST_NODES, next.memberCount())));
+    retries.setCapacity(Math.max(1, FLEET_RETRY_UNITS / Math.max(LEAST_NODES, next.memberCount())));
     Manifest manifest = settings.manifest();
     if (manifest != null) {
       crossing.configure(manifest.link(), next.membersIn(region));
@@ -127,8 +127,8 @@
           "prompt has " + request.promptTokens() + " tokens, at most " + model.maxPromptTokens();
       refuse(q, ErrorCode.PROMPT_TOO_LONG, detail, Duration.ZERO);
     } else {
-      retries.earn(settings.limits().retryBudgetFraction());
-      hedges.earn(settings.limits().hedgeBudgetFraction());
+      retries.deposit(settings.limits().retryBudgetFraction());
+      hedges.deposit(settings.limits().hedgeBudgetFraction());
       starter.begin(q);
     }
   }
@@ -342,7 +342,7 @@
     String detail =
         "attempt " + a.id.number() + " on " + a.decode + ", " + q.tokensSent + " tokens";
     fx.explain(q.request.id(), "completed", detail);
-    if (q.suspectRun || evidence.standing(q.request.fingerprint(), fx.now()) == Standing.SUSPECT) {
+    if (q.suspectRun || evidence.suspicionLevel(q.request.fingerprint(), fx.now()) == SuspicionLevel.SUSPECT) {
       evidenceSide.cleared(q.request.fingerprint());
     }
     fx.emit(new RoutingCommand.Complete(q.request.id()));
@@ -393,7 +393,7 @@
     q.hedge = null;
     if (q.current != null) {
       arm(q);
-    } else if (reuse && handle != null && retries.take()) {
+    } else if (reuse && handle != null && retries.tryAcquire()) {
       fx.explain(q.request.id(), "decode_reassigned", "KV cache of " + handle.source());
       starter.launch(q, a.cell, handle);
     } else if (a.state == Attempt.State.RESERVING) {
@@ -439,7 +439,7 @@
             : now < q.request.firstTokenDeadlineNanos();
     if (!inTime) {
       refuse(q, ErrorCode.DEADLINE_EXCEEDED, "failed too late to retry: " + failure, LATER);
-    } else if (q.attempts() >= MAX_ATTEMPTS || !retries.take()) {
+    } else if (q.attempts() >= MAX_ATTEMPTS || !retries.tryAcquire()) {
       fx.explain(q.request.id(), "retry_budget", "attempts=" + q.attempts());
       Duration after = spread.draw(2, 1);
       refuse(q, ErrorCode.UPSTREAM_FAILED, "upstream failed: " + failure, after);
@@ -579,14 +579,14 @@
 
   /** Asks for another prefill engine; the late prefill is cancelled when one is granted. */
   private void move(EntryRequest q, Attempt a) {
-    if (!q.hedged && a.prefill != null && retries.take()) {
+    if (!q.hedged && a.prefill != null && retries.tryAcquire()) {
       askElsewhere(q, a, "late_prefill_elsewhere");
     }
   }
 
   /** Starts a second attempt for a late prefill when another engine can still be in time. */
   private void hedge(EntryRequest q, Attempt a) {
-    if (!q.hedged && a.prefill != null && hedges.take()) {
+    if (!q.hedged && a.prefill != null && hedges.tryAcquire()) {
       askElsewhere(q, a, "hedged");
     }
   }
--- a/core/src/main/java/org/mustardlatch/core/routing/EvidenceSide.java
+++ b/core/src/main/java/org/mustardlatch/core/routing/EvidenceSide.java
@@ -12,7 +12,7 @@
 import org.mustardlatch.core.peer.EvidenceMessage.RunRequest;
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 import org.mustardlatch.core.quarantine.CrashEvidence;
-import org.mustardlatch.core.quarantine.SuspectRuns;
+import org.mustardlatch.core.quarantine.SuspectRunPermissions;
 
 /** Crash evidence of the fleet as this node knows it, and the permissions that it gives. */
 final class EvidenceSide implements CellAdmission.CrashListener {
@@ -27,7 +27,7 @@
 
   private final Effects fx;
   private final CrashEvidence evidence;
-  private final SuspectRuns runs = new SuspectRuns();
+  private final SuspectRunPermissions runs = new SuspectRunPermissions();
   private final ArrayDeque<Recent> recent = new ArrayDeque<>();
   private Topology topology;
   private long crashes;
@@ -58,7 +58,7 @@
   /** Tells every node that a suspect ran to its end. */
   void cleared(Fingerprint fingerprint) {
     evidence.clear(fingerprint);
-    runs.ended(fingerprint);
+    runs.runEnded(fingerprint);
     broadcast(new Cleared(fingerprint));
   }
 
@@ -73,14 +73,14 @@
       case CrashReport r -> record(r);
       case Cleared c -> {
         evidence.clear(c.fingerprint());
-        runs.ended(c.fingerprint());
+        runs.runEnded(c.fingerprint());
       }
       case RunRequest r -> {
         Verdict verdict =
-            runs.ask(
+            runs.requestRun(
                 r.fingerprint(),
                 r.attempt(),
-                evidence.standing(r.fingerprint(), fx.now()),
+                evidence.suspicionLevel(r.fingerprint(), fx.now()),
                 fx.now());
         fx.send(from, new RunPermission(r.fingerprint(), r.attempt(), verdict));
       }
@@ -122,8 +122,8 @@
       recent.removeFirst();
     }
     recent.addLast(new Recent(report, now));
-    evidence.crashed(crashId, report.running(), now);
-    report.running().forEach(runs::ended);
+    evidence.recordCrash(crashId, report.running(), now);
+    report.running().forEach(runs::runEnded);
   }
 
   private static boolean sameReporter(Recent known, CrashReport report) {
--- a/core/src/test/java/org/mustardlatch/core/balancing/BalancerTest.java
+++ b/core/src/test/java/org/mustardlatch/core/balancing/BalancerTest.java
@@ -23,34 +23,34 @@
   }
 
   @Test
-  void prefersTheNearUpstreamWhileItHasSlots() {
+  void prefersNearUpstreamWhileItHasFreeSlots() {
     assertThat(choose(0)).isEqualTo(NEAR);
-    balancer.sent(NEAR);
+    balancer.requestSent(NEAR);
     assertThat(choose(0)).isEqualTo(NEAR);
   }
 
   @Test
-  void goesFurtherWhenTheNearOneIsFullForLongerThanTheWay() {
+  void choosesFarUpstreamWhenQueueingAtTheNearOneTakesLongerThanTheRoundTrip() {
     for (int i = 0; i < 5; i++) {
-      balancer.sent(NEAR);
+      balancer.requestSent(NEAR);
     }
 
     assertThat(choose(0)).isEqualTo(FAR);
   }
 
   @Test
-  void avoidsAStragglerByTheLoadThatItStates() {
-    balancer.sent(NEAR);
-    balancer.answered(NEAR, 50 * MILLI, new UpstreamLoad(1, 0, 2, 2.5), 0);
+  void avoidsSlowUpstreamWhileItsReportedLoadIsRecent() {
+    balancer.requestSent(NEAR);
+    balancer.responseReceived(NEAR, 50 * MILLI, new UpstreamLoad(1, 0, 2, 2.5), 0);
 
     assertThat(choose(MILLI)).isEqualTo(FAR);
     assertThat(choose(1_000 * MILLI)).isEqualTo(NEAR);
   }
 
   @Test
-  void avoidsAnUpstreamThatBrokeOffButUsesItWhenNothingElseIsLeft() {
-    balancer.sent(NEAR);
-    balancer.failed(NEAR, 0);
+  void avoidsFailedUpstreamUnlessItIsTheOnlyCandidateLeft() {
+    balancer.requestSent(NEAR);
+    balancer.requestFailed(NEAR, 0);
 
     assertThat(choose(MILLI)).isEqualTo(FAR);
     assertThat(Objects.requireNonNull(balancer.choose(both, Set.of(FAR), MILLI)).id())
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void neverChoosesAnUpstreamTwiceForOneRequest() {
+  void neverChoosesAnUpstreamThatFailedTheRequest() {
     assertThat(balancer.choose(both, Set.of(NEAR, FAR), 0)).isNull();
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/FleetBench.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/FleetBench.java
@@ -23,35 +23,35 @@
 
   private static void run(int size, int seed) {
     long cpu = System.nanoTime();
-    Fleet fleet = new Fleet(seed);
+    FleetSimulation fleet = new FleetSimulation(seed);
     for (int i = 0; i < size; i++) {
       fleet.start("n" + i, i % 2 == 0 ? "r0" : "r1", fleet.seeds());
-      fleet.run(Duration.ofMillis(20));
+      fleet.advance(Duration.ofMillis(20));
     }
-    double joined = fleet.runUntilAgreed(Duration.ofSeconds(60));
-    long before = fleet.messages;
-    fleet.run(Duration.ofSeconds(20));
-    double rate = (fleet.messages - before) / 20.0 / size;
+    double joined = fleet.runUntilMembershipAgrees(Duration.ofSeconds(60));
+    long before = fleet.messagesSent;
+    fleet.advance(Duration.ofSeconds(20));
+    double rate = (fleet.messagesSent - before) / 20.0 / size;
     print(seed, "join of the last node", joined);
     System.out.printf(Locale.ROOT, "seed %d: %.1f messages/s and node%n", seed, rate);
     fleet.storedRevision = 1;
-    fleet.node(fleet.random.nextInt(size)).toRollout(new RolloutEvent.Published(1, "text"));
+    fleet.nodeAt(fleet.random.nextInt(size)).handleRolloutEvent(new RolloutEvent.Published(1, "text"));
     print(seed, "in force everywhere", fleet.runUntil(limit(), n -> n.rollout.revision() == 1));
-    fleet.loss = 0.3;
-    fleet.node(fleet.random.nextInt(size)).toRollout(new RolloutEvent.Published(2, "text"));
+    fleet.lossProbability = 0.3;
+    fleet.nodeAt(fleet.random.nextInt(size)).handleRolloutEvent(new RolloutEvent.Published(2, "text"));
     print(seed, "the same with 30% loss", fleet.runUntil(limit(), n -> n.rollout.revision() == 2));
-    fleet.loss = 0;
-    fleet.run(Duration.ofSeconds(20));
-    fleet.node(size - 1).kill();
-    print(seed, "one killed node gone everywhere", fleet.runUntilAgreed(limit()));
-    List<FleetNode> live = new ArrayList<>(fleet.live());
+    fleet.lossProbability = 0;
+    fleet.advance(Duration.ofSeconds(20));
+    fleet.nodeAt(size - 1).kill();
+    print(seed, "one killed node gone everywhere", fleet.runUntilMembershipAgrees(limit()));
+    List<SimulatedNode> live = new ArrayList<>(fleet.runningNodes());
     Collections.shuffle(live, fleet.random);
-    fleet.each(live.subList(0, Math.min(20, size / 4)), FleetNode::kill);
-    print(seed, "a rack of 20 gone everywhere", fleet.runUntilAgreed(limit()));
-    fleet.cut = (a, b) -> !a.region().equals(b.region());
-    fleet.run(Duration.ofSeconds(90));
-    fleet.cut = (a, b) -> false;
-    print(seed, "partition of 90 s healed", fleet.runUntilAgreed(limit()));
+    fleet.applyToEach(live.subList(0, Math.min(20, size / 4)), SimulatedNode::kill);
+    print(seed, "a rack of 20 gone everywhere", fleet.runUntilMembershipAgrees(limit()));
+    fleet.isPartitioned = (a, b) -> !a.region().equals(b.region());
+    fleet.advance(Duration.ofSeconds(90));
+    fleet.isPartitioned = (a, b) -> false;
+    print(seed, "partition of 90 s healed", fleet.runUntilMembershipAgrees(limit()));
     System.out.printf(
         Locale.ROOT, "seed %d: %.1f s of wall time%n", seed, (System.nanoTime() - cpu) / 1e9);
   }
--- a/core/src/test/java/org/mustardlatch/core/fleet/Fleet.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/FleetSimulation.java
@@ -15,19 +15,19 @@
 import org.mustardlatch.core.time.VirtualTimerService;
 
 /** Nodes joined by a network that loses, delays and cuts messages as a seed says. */
-final class Fleet {
+final class FleetSimulation {
   final VirtualTimerService time = new VirtualTimerService();
   final Random random;
-  final Map<String, FleetNode> nodes = new LinkedHashMap<>();
-  double loss;
-  BiPredicate<FleetNode, FleetNode> cut = (a, b) -> false;
+  final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
+  double lossProbability;
+  BiPredicate<SimulatedNode, SimulatedNode> isPartitioned = (a, b) -> false;
   boolean storeDown;
   long storedRevision;
   String storedText = "";
-  long messages;
-  private long incarnations = 1;
+  long messagesSent;
+  private long nextIncarnation = 1;
 
-  Fleet(long seed) {
+  FleetSimulation(long seed) {
     random = new Random(seed);
   }
 
@@ -44,32 +44,32 @@
     return List.of("n0:1", "n1:1", "n2:1");
   }
 
-  FleetNode start(String name, String region, List<String> seeds) {
-    FleetNode n = new FleetNode(this, name, region, incarnations++, seeds);
+  SimulatedNode start(String name, String region, List<String> seeds) {
+    SimulatedNode n = new SimulatedNode(this, name, region, nextIncarnation++, seeds);
     nodes.put(name, n);
     n.start();
     return n;
   }
 
-  FleetNode node(int i) {
+  SimulatedNode nodeAt(int i) {
     return nodes.values().stream().skip(i).findFirst().orElseThrow();
   }
 
-  Collection<FleetNode> live() {
-    return nodes.values().stream().filter(FleetNode::running).toList();
+  Collection<SimulatedNode> runningNodes() {
+    return nodes.values().stream().filter(SimulatedNode::isRunning).toList();
   }
 
-  void run(Duration duration) {
+  void advance(Duration duration) {
     time.advance(duration);
   }
 
   /** Runs until the condition holds for all running nodes; returns the seconds that it took. */
-  double runUntil(Duration limit, Predicate<FleetNode> condition) {
+  double runUntil(Duration limit, Predicate<SimulatedNode> condition) {
     long start = time.nanos();
-    while (!live().stream().allMatch(condition)) {
+    while (!runningNodes().stream().allMatch(condition)) {
       if (time.nanos() - start > limit.toNanos()) {
         List<String> missing =
-            live().stream().filter(condition.negate()).map(FleetNode::toString).toList();
+            runningNodes().stream().filter(condition.negate()).map(SimulatedNode::toString).toList();
         throw new AssertionError("not reached within " + limit + " on " + missing);
       }
       time.advance(Duration.ofMillis(50));
@@ -78,22 +78,22 @@
   }
 
   /** Runs until every running node sees exactly the running nodes. */
-  double runUntilAgreed(Duration limit) {
-    return runUntil(limit, n -> n.sees(live()));
+  double runUntilMembershipAgrees(Duration limit) {
+    return runUntil(limit, n -> n.seesExactly(runningNodes()));
   }
 
-  void send(FleetNode from, HostId to, PeerMessage message) {
+  void send(SimulatedNode from, HostId to, PeerMessage message) {
     deliver(from, nodes.get(to.value()), message);
   }
 
-  void sendToAddress(FleetNode from, String address, PeerMessage message) {
+  void sendToAddress(SimulatedNode from, String address, PeerMessage message) {
     deliver(from, nodes.get(address.substring(0, address.indexOf(':'))), message);
   }
 
   private void deliver(
-      FleetNode from, @org.jspecify.annotations.Nullable FleetNode to, PeerMessage message) {
-    messages++;
-    if (to == null || to == from || cut.test(from, to) || random.nextDouble() < loss) {
+      SimulatedNode from, @org.jspecify.annotations.Nullable SimulatedNode to, PeerMessage message) {
+    messagesSent++;
+    if (to == null || to == from || isPartitioned.test(from, to) || random.nextDouble() < lossProbability) {
       return;
     }
     boolean near = from.region().equals(to.region());
@@ -103,7 +103,7 @@
   }
 
   /** Applies an action to each of some nodes. */
-  void each(List<FleetNode> some, Consumer<FleetNode> action) {
+  void applyToEach(List<SimulatedNode> some, Consumer<SimulatedNode> action) {
     new ArrayList<>(some).forEach(action);
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
@@ -14,15 +14,15 @@
 /** Membership of a small fleet under seeded faults, in virtual time. */
 class MembershipFleetTest {
   private static final int SEEDS = 40;
-  private static final int SIZE = 14;
+  private static final int FLEET_SIZE = 14;
 
   /** Runs a schedule for every seed, on a fleet that has joined. */
-  private static void forSeeds(int seeds, int size, Consumer<Fleet> schedule) {
+  private static void forSeeds(int seeds, int size, Consumer<FleetSimulation> schedule) {
     for (int seed : Seeds.of("fleet", seeds)) {
-      Fleet fleet = new Fleet(seed);
+      FleetSimulation fleet = new FleetSimulation(seed);
       fleet.startAll(0, size);
       try {
-        fleet.runUntilAgreed(Duration.ofSeconds(20));
+        fleet.runUntilMembershipAgrees(Duration.ofSeconds(20));
         schedule.accept(fleet);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed, e);
@@ -32,16 +32,16 @@
 
   /** Guards against a failure detector that takes lost messages for death. */
   @Test
-  void noLiveNodeIsDeclaredDeadForGoodWhenThirtyPercentOfMessagesAreLost() {
+  void noLiveNodeStaysDeadWhenThirtyPercentOfMessagesAreLost() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          fleet.loss = 0.3;
-          fleet.run(Duration.ofMinutes(2));
-          fleet.loss = 0;
-          fleet.runUntilAgreed(Duration.ofSeconds(30));
-          for (FleetNode n : fleet.live()) {
+          fleet.lossProbability = 0.3;
+          fleet.advance(Duration.ofMinutes(2));
+          fleet.lossProbability = 0;
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(30));
+          for (SimulatedNode n : fleet.runningNodes()) {
             assertWithMessage("fenced %s", n).that(n.fencedIncarnation).isEqualTo(0);
           }
         });
@@ -49,22 +49,22 @@
 
   /** Guards against a paused node that goes on as if nobody had declared it dead. */
   @Test
-  void aPausedNodeIsSuspectedAndReturnsWithAHigherIncarnation() {
+  void pausedNodeIsSuspectedAndResumesWithHigherIncarnation() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          FleetNode victim = fleet.node(fleet.random.nextInt(SIZE));
+          SimulatedNode victim = fleet.nodeAt(fleet.random.nextInt(FLEET_SIZE));
           long before = victim.incarnation();
           victim.pause(Duration.ofSeconds(6 + fleet.random.nextInt(40)));
-          fleet.run(Duration.ofSeconds(6));
-          assertThat(fleet.live().stream().anyMatch(n -> n.suspected.contains(victim.host())))
+          fleet.advance(Duration.ofSeconds(6));
+          assertThat(fleet.runningNodes().stream().anyMatch(n -> n.suspected.contains(victim.host())))
               .isTrue();
-          fleet.run(Duration.ofSeconds(45));
-          fleet.runUntilAgreed(Duration.ofSeconds(10));
+          fleet.advance(Duration.ofSeconds(45));
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(10));
           assertThat(victim.incarnation()).isGreaterThan(before);
           assertThat(victim.fencedIncarnation).isEqualTo(victim.incarnation());
-          for (FleetNode n : fleet.live()) {
+          for (SimulatedNode n : fleet.runningNodes()) {
             assertThat(n.incarnationOf(victim.host())).isEqualTo(victim.incarnation());
           }
         });
@@ -72,56 +72,56 @@
 
   /** Guards against a short pause that cancels the attempts of a healthy node. */
   @Test
-  void aShortPauseKeepsTheIncarnation() {
+  void shortPauseKeepsIncarnation() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          FleetNode victim = fleet.node(fleet.random.nextInt(SIZE));
+          SimulatedNode victim = fleet.nodeAt(fleet.random.nextInt(FLEET_SIZE));
           long before = victim.incarnation();
           victim.pause(Duration.ofMillis(4_500));
-          fleet.run(Duration.ofSeconds(20));
-          fleet.runUntilAgreed(Duration.ofSeconds(10));
+          fleet.advance(Duration.ofSeconds(20));
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(10));
           assertThat(victim.incarnation()).isEqualTo(before);
         });
   }
 
   /** Guards the bound of design 4.6: detection, suspicion and refutation within 18 s. */
   @Test
-  void aKilledNodeIsRemovedEverywhere() {
+  void killedNodeIsRemovedFromAllMemberLists() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          fleet.node(fleet.random.nextInt(SIZE)).kill();
-          fleet.runUntilAgreed(Duration.ofSeconds(18));
+          fleet.nodeAt(fleet.random.nextInt(FLEET_SIZE)).kill();
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(18));
         });
   }
 
   /** Guards against a partition that makes each side forget the other, or flap when it heals. */
   @Test
-  void aRegionThatIsCutOffIsUnreachableThenGoneAndReturnsAtOnceWhenItHeals() {
+  void partitionedRegionBecomesUnreachableIsExcludedAndReturnsWithin5SecondsAfterHealing() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          fleet.cut = (a, b) -> !a.region().equals(b.region());
-          fleet.run(Duration.ofSeconds(8));
-          for (FleetNode n : fleet.live()) {
-            assertThat(n.seesUnreachable(n.region().equals("r0") ? "r1" : "r0")).isTrue();
-            assertThat(n.sees(fleet.live())).isTrue();
+          fleet.isPartitioned = (a, b) -> !a.region().equals(b.region());
+          fleet.advance(Duration.ofSeconds(8));
+          for (SimulatedNode n : fleet.runningNodes()) {
+            assertThat(n.considersUnreachable(n.region().equals("r0") ? "r1" : "r0")).isTrue();
+            assertThat(n.seesExactly(fleet.runningNodes())).isTrue();
           }
-          fleet.run(Duration.ofSeconds(70));
-          for (FleetNode n : fleet.live()) {
+          fleet.advance(Duration.ofSeconds(70));
+          for (SimulatedNode n : fleet.runningNodes()) {
             assertThat(
-                    n.sees(
-                        fleet.live().stream().filter(o -> o.region().equals(n.region())).toList()))
+                    n.seesExactly(
+                        fleet.runningNodes().stream().filter(o -> o.region().equals(n.region())).toList()))
                 .isTrue();
           }
-          fleet.cut = (a, b) -> false;
-          fleet.runUntilAgreed(Duration.ofSeconds(5));
-          for (FleetNode n : fleet.live()) {
-            assertThat(n.everGone).isEmpty();
+          fleet.isPartitioned = (a, b) -> false;
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(5));
+          for (SimulatedNode n : fleet.runningNodes()) {
+            assertThat(n.everRemoved).isEmpty();
             assertThat(n.fencedIncarnation).isEqualTo(0);
           }
         });
@@ -129,69 +129,69 @@
 
   /** Guards against halves of one region that never meet again after both declared deaths. */
   @Test
-  void halvesOfARegionMeetAgain() {
+  void partitionedHalvesMergeAgain() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          fleet.cut = (a, b) -> side(a) != side(b);
-          fleet.run(Duration.ofSeconds(90));
-          fleet.cut = (a, b) -> false;
-          fleet.runUntilAgreed(Duration.ofSeconds(60));
+          fleet.isPartitioned = (a, b) -> inLowerHalf(a) != inLowerHalf(b);
+          fleet.advance(Duration.ofSeconds(90));
+          fleet.isPartitioned = (a, b) -> false;
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(60));
         });
   }
 
-  private static boolean side(FleetNode n) {
-    return Integer.parseInt(n.host().value().substring(1)) < SIZE / 2;
+  private static boolean inLowerHalf(SimulatedNode n) {
+    return Integer.parseInt(n.host().value().substring(1)) < FLEET_SIZE / 2;
   }
 
   @Test
-  void aRackThatDiesAtOnceIsRemovedAndNobodyElse() {
+  void onlyTheFourNodesKilledTogetherAreRemoved() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          List<FleetNode> all = new ArrayList<>(fleet.live());
+          List<SimulatedNode> all = new ArrayList<>(fleet.runningNodes());
           Collections.shuffle(all, fleet.random);
-          fleet.each(all.subList(0, 4), FleetNode::kill);
-          fleet.runUntilAgreed(Duration.ofSeconds(25));
-          fleet.run(Duration.ofSeconds(20));
-          fleet.runUntilAgreed(Duration.ofSeconds(1));
+          fleet.applyToEach(all.subList(0, 4), SimulatedNode::kill);
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(25));
+          fleet.advance(Duration.ofSeconds(20));
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(1));
         });
   }
 
   @Test
-  void allNodesAreReplacedOneAfterAnother() {
+  void membershipAgreesAfterAllNodesAreReplacedOneByOne() {
     forSeeds(
         SEEDS / 4,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
-          List<FleetNode> old = new ArrayList<>(fleet.live());
+          List<SimulatedNode> old = new ArrayList<>(fleet.runningNodes());
           for (int i = 0; i < old.size(); i++) {
             old.get(i).leave();
-            String seed = fleet.node((i + 1) % SIZE + (i + 1 < SIZE ? 0 : SIZE)).host() + ":1";
+            String seed = fleet.nodeAt((i + 1) % FLEET_SIZE + (i + 1 < FLEET_SIZE ? 0 : FLEET_SIZE)).host() + ":1";
             fleet.start("m" + i, old.get(i).region(), List.of(seed));
-            fleet.run(Duration.ofSeconds(3));
+            fleet.advance(Duration.ofSeconds(3));
           }
-          fleet.runUntilAgreed(Duration.ofSeconds(20));
-          assertThat(fleet.live()).hasSize(SIZE);
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(20));
+          assertThat(fleet.runningNodes()).hasSize(FLEET_SIZE);
         });
   }
 
   /** The object service is never read in this test, and two of three seeds are gone. */
   @Test
-  void nodesJoinThroughTheOnlySeedLeftWhileTheObjectServiceIsDown() {
+  void nodesJoinThroughTheOnlyRemainingSeedWhileTheObjectServiceIsDown() {
     forSeeds(
         SEEDS,
-        SIZE,
+        FLEET_SIZE,
         fleet -> {
           fleet.storeDown = true;
-          fleet.node(1).kill();
-          fleet.node(2).kill();
+          fleet.nodeAt(1).kill();
+          fleet.nodeAt(2).kill();
           for (int i = 0; i < 4; i++) {
             fleet.start("j" + i, i % 2 == 0 ? "r0" : "r1", fleet.seeds());
           }
-          fleet.runUntilAgreed(Duration.ofSeconds(25));
+          fleet.runUntilMembershipAgrees(Duration.ofSeconds(25));
         });
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
@@ -12,32 +12,32 @@
 /** Invariant I8: an accepted configuration is in force everywhere within 4 s and never reverts. */
 class RolloutFleetTest {
   private static final int SEEDS = 60;
-  private static final int SIZE = 14;
-  private static final Duration BOUND = Duration.ofSeconds(4);
+  private static final int FLEET_SIZE = 14;
+  private static final Duration ROLLOUT_BOUND = Duration.ofSeconds(4);
 
-  private static Fleet fleet(int seed) {
-    Fleet fleet = new Fleet(seed);
+  private static FleetSimulation startFleet(int seed) {
+    FleetSimulation fleet = new FleetSimulation(seed);
     fleet.storedRevision = 1;
     fleet.storedText = "text 1";
-    fleet.startAll(0, SIZE);
-    fleet.runUntilAgreed(Duration.ofSeconds(20));
+    fleet.startAll(0, FLEET_SIZE);
+    fleet.runUntilMembershipAgrees(Duration.ofSeconds(20));
     fleet.runUntil(Duration.ofSeconds(20), n -> n.rollout.revision() == 1 && n.rollout.ready());
     return fleet;
   }
 
-  private static void publish(Fleet fleet, FleetNode by, long revision) {
+  private static void publish(FleetSimulation fleet, SimulatedNode by, long revision) {
     fleet.storedRevision = revision;
     fleet.storedText = "text " + revision;
-    by.toRollout(new RolloutEvent.Published(revision, fleet.storedText));
+    by.handleRolloutEvent(new RolloutEvent.Published(revision, fleet.storedText));
     Duration step = Duration.ofMillis(10);
     for (int i = 0; i < 1_000 && by.acceptedRevision < revision; i++) {
-      fleet.run(step);
+      fleet.advance(step);
     }
     assertThat(by.acceptedRevision).isEqualTo(revision);
   }
 
-  private static void assertNeverBack(Fleet fleet) {
-    for (FleetNode n : fleet.nodes.values()) {
+  private static void assertRevisionsNeverDecrease(FleetSimulation fleet) {
+    for (SimulatedNode n : fleet.nodes.values()) {
       assertThat(n.appliedRevisions).isInStrictOrder();
     }
   }
@@ -47,72 +47,72 @@
    * messages is lost, and fresh nodes join meanwhile.
    */
   @Test
-  void anAcceptedRevisionIsInForceEverywhereWithinFourSecondsWhateverFailsNext() {
+  void acceptedRevisionIsActiveOnAllNodesWithinFourSecondsDespiteFaults() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
-      Fleet fleet = fleet(seed);
-      fleet.loss = 0.1;
+      FleetSimulation fleet = startFleet(seed);
+      fleet.lossProbability = 0.1;
       for (long revision = 2; revision <= 3; revision++) {
-        List<FleetNode> live = List.copyOf(fleet.live());
-        FleetNode publisher = live.get(fleet.random.nextInt(live.size()));
+        List<SimulatedNode> live = List.copyOf(fleet.runningNodes());
+        SimulatedNode publisher = live.get(fleet.random.nextInt(live.size()));
         publish(fleet, publisher, revision);
         fleet.storeDown = true;
         if (fleet.random.nextBoolean()) {
           publisher.kill();
         }
         long accepted = revision;
-        List<FleetNode> before = List.copyOf(fleet.live());
+        List<SimulatedNode> before = List.copyOf(fleet.runningNodes());
         fleet.start("f" + revision + "a", "r0", fleet.seeds());
         fleet.start("f" + revision + "b", "r1", fleet.seeds());
-        fleet.run(BOUND);
-        for (FleetNode n : before) {
+        fleet.advance(ROLLOUT_BOUND);
+        for (SimulatedNode n : before) {
           assertWithMessage("seed %s, %s", seed, n).that(n.rollout.revision()).isEqualTo(accepted);
         }
         fleet.runUntil(
             Duration.ofSeconds(20), n -> n.rollout.ready() && n.rollout.revision() >= accepted);
-        fleet.run(Duration.ofSeconds(20));
+        fleet.advance(Duration.ofSeconds(20));
         fleet.storeDown = false;
       }
-      assertNeverBack(fleet);
+      assertRevisionsNeverDecrease(fleet);
     }
   }
 
   /** Guards against a fresh node that serves with what a node that lags behind told it. */
   @Test
-  void aFreshNodeIsNotReadyBeforeItHasTheAcceptedRevision() {
+  void newNodeIsNotReadyBeforeItHasTheAcceptedRevision() {
     for (int seed : Seeds.of("fleet", SEEDS)) {
-      Fleet fleet = fleet(seed);
+      FleetSimulation fleet = startFleet(seed);
       fleet.storeDown = true;
-      FleetNode fresh = fleet.start("fresh", "r1", fleet.seeds());
-      publish(fleet, fleet.node(fleet.random.nextInt(SIZE)), 2);
+      SimulatedNode fresh = fleet.start("fresh", "r1", fleet.seeds());
+      publish(fleet, fleet.nodeAt(fleet.random.nextInt(FLEET_SIZE)), 2);
       for (int i = 0; i < 200; i++) {
-        fleet.run(Duration.ofMillis(50));
+        fleet.advance(Duration.ofMillis(50));
         if (fresh.rollout.ready()) {
           assertWithMessage("seed %s", seed).that(fresh.rollout.revision()).isEqualTo(2);
         }
       }
       assertThat(fresh.rollout.ready()).isTrue();
-      assertNeverBack(fleet);
+      assertRevisionsNeverDecrease(fleet);
     }
   }
 
   /** A side without the object service keeps its revision and moves on when it is joined again. */
   @Test
-  void theCutOffRegionCatchesUpWithinFourSecondsAfterThePartitionHeals() {
+  void partitionedRegionCatchesUpWithinFourSecondsAfterHealing() {
     for (int seed : Seeds.of("fleet", SEEDS / 2)) {
-      Fleet fleet = fleet(seed);
-      fleet.cut = (a, b) -> !a.region().equals(b.region());
-      fleet.run(Duration.ofSeconds(10 + fleet.random.nextInt(80)));
-      publish(fleet, fleet.node(0), 2);
-      fleet.run(BOUND);
-      for (FleetNode n : fleet.live()) {
+      FleetSimulation fleet = startFleet(seed);
+      fleet.isPartitioned = (a, b) -> !a.region().equals(b.region());
+      fleet.advance(Duration.ofSeconds(10 + fleet.random.nextInt(80)));
+      publish(fleet, fleet.nodeAt(0), 2);
+      fleet.advance(ROLLOUT_BOUND);
+      for (SimulatedNode n : fleet.runningNodes()) {
         assertThat(n.rollout.revision()).isEqualTo(n.region().equals("r0") ? 2 : 1);
       }
-      fleet.cut = (a, b) -> false;
-      fleet.run(BOUND);
-      for (FleetNode n : fleet.live()) {
+      fleet.isPartitioned = (a, b) -> false;
+      fleet.advance(ROLLOUT_BOUND);
+      for (SimulatedNode n : fleet.runningNodes()) {
         assertWithMessage("seed %s, %s", seed, n).that(n.rollout.revision()).isEqualTo(2);
       }
-      assertNeverBack(fleet);
+      assertRevisionsNeverDecrease(fleet);
     }
   }
 }
--- a/core/src/test/java/org/mustardlatch/core/fleet/FleetNode.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
@@ -31,27 +31,27 @@
 import org.mustardlatch.core.rollout.RolloutEvent;
 import org.mustardlatch.core.time.TimerSubscription;
 
-/** One node of a {@link Fleet}. */
-final class FleetNode {
-  private final Fleet fleet;
+/** One node of a {@link FleetSimulation}. */
+final class SimulatedNode {
+  private final FleetSimulation fleet;
   private final NodeIdentity self;
   private final Membership membership;
   final Rollout rollout;
   final BudgetOwner budgetOwner;
   final BudgetClient budgetClient = new BudgetClient();
-  private final List<Runnable> atResume = new ArrayList<>();
+  private final List<Runnable> deferredTasks = new ArrayList<>();
   private final List<TimerSubscription> timers = new ArrayList<>();
-  private final Map<Long, Boolean> spends = new HashMap<>();
-  private boolean running;
+  private final Map<Long, Boolean> spendResults = new HashMap<>();
+  private boolean isRunning;
   private boolean paused;
   final Set<HostId> suspected = new HashSet<>();
-  final Set<HostId> everGone = new HashSet<>();
+  final Set<HostId> everRemoved = new HashSet<>();
   final List<Long> appliedRevisions = new ArrayList<>();
   long fencedIncarnation;
   long acceptedRevision;
   double spent;
 
-  FleetNode(Fleet fleet, String name, String region, long incarnation, List<String> seeds) {
+  SimulatedNode(FleetSimulation fleet, String name, String region, long incarnation, List<String> seeds) {
     this.fleet = fleet;
     this.self =
         new NodeIdentity(
@@ -64,18 +64,18 @@
   }
 
   void start() {
-    running = true;
+    isRunning = true;
     membersChanged();
     long phase = fleet.random.nextLong(Membership.TICK_PERIOD.toNanos());
     fleet.time.schedule(
         Duration.ofNanos(phase),
         () -> {
-          timers.add(fleet.time.every(Membership.TICK_PERIOD, () -> whenAwake(this::tick)));
+          timers.add(fleet.time.every(Membership.TICK_PERIOD, () -> runOrDefer(this::tick)));
           timers.add(
               fleet.time.every(
                   BudgetClient.TICK_PERIOD,
                   () -> {
-                    if (running && !paused && budgetClient.hasWaiting()) {
+                    if (isRunning && !paused && budgetClient.hasWaitingSpends()) {
                       budgetClient.tick(fleet.time.nanos(), this::execute);
                     }
                   }));
@@ -83,18 +83,18 @@
   }
 
   private void tick() {
-    toMembership(new MembershipEvent.Tick());
-    toRollout(new RolloutEvent.Tick());
+    handleMembershipEvent(new MembershipEvent.Tick());
+    handleRolloutEvent(new RolloutEvent.Tick());
   }
 
   /** Ends the process without a word. */
   void kill() {
-    running = false;
+    isRunning = false;
     timers.forEach(TimerSubscription::cancel);
   }
 
   void leave() {
-    toMembership(new MembershipEvent.LeaveRequested());
+    handleMembershipEvent(new MembershipEvent.LeaveRequested());
     fleet.time.schedule(Duration.ofSeconds(1), this::kill);
   }
 
@@ -105,19 +105,19 @@
         duration,
         () -> {
           paused = false;
-          List<Runnable> due = new ArrayList<>(atResume);
-          atResume.clear();
+          List<Runnable> due = new ArrayList<>(deferredTasks);
+          deferredTasks.clear();
           due.forEach(Runnable::run);
         });
   }
 
-  private void whenAwake(Runnable task) {
-    if (!running) {
+  private void runOrDefer(Runnable task) {
+    if (!isRunning) {
       return;
     }
     if (paused) {
-      if (atResume.size() < 64) {
-        atResume.add(task);
+      if (deferredTasks.size() < 64) {
+        deferredTasks.add(task);
       }
       return;
     }
@@ -125,26 +125,26 @@
   }
 
   void receive(HostId from, long incarnation, PeerMessage message) {
-    whenAwake(() -> dispatch(from, incarnation, message));
+    runOrDefer(() -> dispatch(from, incarnation, message));
   }
 
   private void dispatch(HostId from, long incarnation, PeerMessage message) {
     switch (message) {
       case MembershipMessage m -> {
-        toMembership(new MembershipEvent.Received(from, incarnation, m));
+        handleMembershipEvent(new MembershipEvent.MessageReceived(from, incarnation, m));
         if (m instanceof MembershipMessage.Heartbeat h) {
-          toRollout(new RolloutEvent.RevisionHeard(from, h.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, h.configRevision()));
         } else if (m instanceof MembershipMessage.HeartbeatAck h) {
-          toRollout(new RolloutEvent.RevisionHeard(from, h.configRevision()));
+          handleRolloutEvent(new RolloutEvent.PeerRevisionReported(from, h.configRevision()));
         }
       }
       case RolloutMessage m -> {
-        toMembership(new MembershipEvent.Heard(from, incarnation));
-        toRollout(new RolloutEvent.Received(from, m));
+        handleMembershipEvent(new MembershipEvent.FrameReceived(from, incarnation));
+        handleRolloutEvent(new RolloutEvent.MessageReceived(from, m));
       }
       case BudgetLeaseRequest m ->
-          sendBudget(from, budgetOwner.request(from, m, fleet.time.nanos()));
-      case BudgetLease m -> budgetClient.lease(m, fleet.time.nanos(), this::execute);
+          sendBudget(from, budgetOwner.handleRequest(from, m, fleet.time.nanos()));
+      case BudgetLease m -> budgetClient.leaseReceived(m, fleet.time.nanos(), this::execute);
       default -> throw new AssertionError(message);
     }
   }
@@ -157,7 +157,7 @@
     }
   }
 
-  private void toMembership(MembershipEvent event) {
+  private void handleMembershipEvent(MembershipEvent event) {
     membership.handle(event, fleet.time.nanos(), this::execute);
   }
 
@@ -166,14 +166,14 @@
       case MembershipCommand.Send c -> fleet.send(this, c.to(), c.message());
       case MembershipCommand.SendToAddress c -> fleet.sendToAddress(this, c.address(), c.message());
       case MembershipCommand.MembersChanged c -> membersChanged();
-      case MembershipCommand.Forget c -> everGone.add(c.host());
+      case MembershipCommand.NodeRemoved c -> everRemoved.add(c.host());
       case MembershipCommand.Suspected c -> suspected.add(c.host());
       case MembershipCommand.Fenced c -> fencedIncarnation = c.incarnation();
     }
   }
 
   private void membersChanged() {
-    toRollout(new RolloutEvent.MembersChanged(membership.members(), membership.neighbours()));
+    handleRolloutEvent(new RolloutEvent.MembersChanged(membership.members(), membership.neighbours()));
     List<HostId> region =
         membership.members().members().stream()
             .filter(m -> m.region().equals(self.region()))
@@ -183,7 +183,7 @@
     budgetClient.membersChanged(region);
   }
 
-  void toRollout(RolloutEvent event) {
+  void handleRolloutEvent(RolloutEvent event) {
     rollout.handle(event, fleet.time.nanos(), this::execute);
   }
 
@@ -195,8 +195,8 @@
         fleet.time.schedule(
             Duration.ZERO,
             () -> {
-              toRollout(new RolloutEvent.Applied(c.revision()));
-              toMembership(new MembershipEvent.RevisionInForce(c.revision()));
+              handleRolloutEvent(new RolloutEvent.Applied(c.revision()));
+              handleMembershipEvent(new MembershipEvent.ActiveRevisionChanged(c.revision()));
             });
       }
       case RolloutCommand.Accepted c -> acceptedRevision = c.revision();
@@ -212,36 +212,36 @@
   private void execute(BudgetCommand command) {
     switch (command) {
       case BudgetCommand.Send c -> sendBudget(c.to(), c.message());
-      case BudgetCommand.Granted c -> spends.put(c.ticket(), true);
-      case BudgetCommand.Refused c -> spends.put(c.ticket(), false);
+      case BudgetCommand.Granted c -> spendResults.put(c.ticket(), true);
+      case BudgetCommand.Refused c -> spendResults.put(c.ticket(), false);
     }
   }
 
   void readStore() {
-    toRollout(new RolloutEvent.Stored(fleet.storedRevision, fleet.storedText));
+    handleRolloutEvent(new RolloutEvent.StoreRead(fleet.storedRevision, fleet.storedText));
   }
 
   void spend(long ticket, String budget, double units) {
-    if (running && !paused) {
+    if (isRunning && !paused) {
       budgetClient.spend(ticket, budget, units, fleet.time.nanos(), this::execute);
     }
   }
 
   /** Returns how many spends were granted since the last call. */
-  int takeGranted() {
-    int granted = (int) spends.values().stream().filter(g -> g).count();
-    spends.clear();
+  int drainGrantedCount() {
+    int granted = (int) spendResults.values().stream().filter(g -> g).count();
+    spendResults.clear();
     return granted;
   }
 
-  boolean sees(Collection<FleetNode> expected) {
+  boolean seesExactly(Collection<SimulatedNode> expected) {
     Set<HostId> seen =
         membership.members().members().stream().map(m -> m.host()).collect(Collectors.toSet());
     return seen.size() == expected.size()
         && expected.stream().allMatch(n -> seen.contains(n.host()));
   }
 
-  boolean seesUnreachable(String region) {
+  boolean considersUnreachable(String region) {
     return membership.members().unreachableRegions().contains(new RegionId(region));
   }
 
@@ -265,8 +265,8 @@
     return membership.incarnation();
   }
 
-  boolean running() {
-    return running;
+  boolean isRunning() {
+    return isRunning;
   }
 
   @Nullable String stateOf(HostId other) {
--- a/core/src/test/java/org/mustardlatch/core/ledger/LedgerWorld.java
+++ b/core/src/test/java/org/mustardlatch/core/ledger/LedgerWorld.java
@@ -161,7 +161,7 @@
       forwarded.add(m.nonce());
     }
     if (copies == 0 && message instanceof LedgerMessage.LedgerStarted m) {
-      lostAnswers.add(m.askedNonce());
+      lostAnswers.add(m.requestedNonce());
     }
     for (int i = 0; i < copies; i++) {
       Duration delay = i == 0 && random.nextInt(10) > 0 ? within(20) : within(50_000);
--- a/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.mustardlatch.core.model.Fingerprint;
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
-import org.mustardlatch.core.quarantine.CrashEvidence.Standing;
+import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 
 class CrashEvidenceTest {
-  private static final Fingerprint POISON = fingerprint(1);
+  private static final Fingerprint CRASHING = fingerprint(1);
   private static final Fingerprint OTHER = fingerprint(2);
 
   private final CrashEvidence evidence = new CrashEvidence();
@@ -20,62 +20,62 @@
 
   @Test
   void quarantinesAfterTwoDifferentCrashes() {
-    evidence.crashed("c1", List.of(POISON, OTHER), 0);
-    assertThat(evidence.standing(POISON, 0)).isEqualTo(Standing.SUSPECT);
+    evidence.recordCrash("c1", List.of(CRASHING, OTHER), 0);
+    assertThat(evidence.suspicionLevel(CRASHING, 0)).isEqualTo(SuspicionLevel.SUSPECT);
 
-    evidence.crashed("c2", List.of(POISON), 1);
-    assertThat(evidence.standing(POISON, 1)).isEqualTo(Standing.QUARANTINED);
-    assertThat(evidence.standing(OTHER, 1)).isEqualTo(Standing.SUSPECT);
+    evidence.recordCrash("c2", List.of(CRASHING), 1);
+    assertThat(evidence.suspicionLevel(CRASHING, 1)).isEqualTo(SuspicionLevel.QUARANTINED);
+    assertThat(evidence.suspicionLevel(OTHER, 1)).isEqualTo(SuspicionLevel.SUSPECT);
   }
 
   @Test
-  void countsACrashThatIsReportedTwiceOnce() {
-    evidence.crashed("c1", List.of(POISON), 0);
-    evidence.crashed("c1", List.of(POISON), 1);
+  void countsACrashReportedTwiceOnlyOnce() {
+    evidence.recordCrash("c1", List.of(CRASHING), 0);
+    evidence.recordCrash("c1", List.of(CRASHING), 1);
 
-    assertThat(evidence.standing(POISON, 1)).isEqualTo(Standing.SUSPECT);
+    assertThat(evidence.suspicionLevel(CRASHING, 1)).isEqualTo(SuspicionLevel.SUSPECT);
   }
 
   @Test
   void clearsASuspectButNotAQuarantine() {
-    evidence.crashed("c1", List.of(POISON, OTHER), 0);
-    evidence.crashed("c2", List.of(POISON), 0);
-    evidence.clear(POISON);
+    evidence.recordCrash("c1", List.of(CRASHING, OTHER), 0);
+    evidence.recordCrash("c2", List.of(CRASHING), 0);
+    evidence.clear(CRASHING);
     evidence.clear(OTHER);
 
-    assertThat(evidence.standing(POISON, 0)).isEqualTo(Standing.QUARANTINED);
-    assertThat(evidence.standing(OTHER, 0)).isEqualTo(Standing.CLEAN);
+    assertThat(evidence.suspicionLevel(CRASHING, 0)).isEqualTo(SuspicionLevel.QUARANTINED);
+    assertThat(evidence.suspicionLevel(OTHER, 0)).isEqualTo(SuspicionLevel.CLEAN);
   }
 
   @Test
-  void forgetsEvidenceTenMinutesAfterTheLastCrash() {
-    evidence.crashed("c1", List.of(POISON), 0);
-    evidence.crashed("c2", List.of(POISON), 1);
-
-    assertThat(evidence.standing(POISON, CrashEvidence.LIFETIME_NANOS))
-        .isEqualTo(Standing.QUARANTINED);
-    assertThat(evidence.standing(POISON, CrashEvidence.LIFETIME_NANOS + 1))
-        .isEqualTo(Standing.CLEAN);
+  void expiresEvidenceTenMinutesAfterTheLastCrash() {
+    evidence.recordCrash("c1", List.of(CRASHING), 0);
+    evidence.recordCrash("c2", List.of(CRASHING), 1);
+
+    assertThat(evidence.suspicionLevel(CRASHING, CrashEvidence.LIFETIME_NANOS))
+        .isEqualTo(SuspicionLevel.QUARANTINED);
+    assertThat(evidence.suspicionLevel(CRASHING, CrashEvidence.LIFETIME_NANOS + 1))
+        .isEqualTo(SuspicionLevel.CLEAN);
   }
 
   @Test
   void keepsABoundedNumberOfFingerprints() {
     for (int i = 0; i <= CrashEvidence.MAX_FINGERPRINTS; i++) {
-      evidence.crashed("c" + i, List.of(fingerprint(i)), i);
+      evidence.recordCrash("c" + i, List.of(fingerprint(i)), i);
     }
     assertThat(evidence.size()).isEqualTo(CrashEvidence.MAX_FINGERPRINTS);
-    assertThat(evidence.standing(fingerprint(0), 0)).isEqualTo(Standing.CLEAN);
+    assertThat(evidence.suspicionLevel(fingerprint(0), 0)).isEqualTo(SuspicionLevel.CLEAN);
   }
 
   @Test
-  void letsOneAttemptOfASuspectRunAtATime() {
-    SuspectRuns runs = new SuspectRuns();
-    assertThat(runs.ask(POISON, "a", Standing.SUSPECT, 0)).isEqualTo(Verdict.RUN);
-    assertThat(runs.ask(POISON, "a", Standing.SUSPECT, 1)).isEqualTo(Verdict.RUN);
-    assertThat(runs.ask(POISON, "b", Standing.SUSPECT, 2)).isEqualTo(Verdict.WAIT);
-
-    runs.ended(POISON);
-    assertThat(runs.ask(POISON, "b", Standing.SUSPECT, 3)).isEqualTo(Verdict.RUN);
-    assertThat(runs.ask(POISON, "c", Standing.QUARANTINED, 4)).isEqualTo(Verdict.QUARANTINED);
+  void permitsOneAttemptOfASuspectAtATime() {
+    SuspectRunPermissions runs = new SuspectRunPermissions();
+    assertThat(runs.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 0)).isEqualTo(Verdict.RUN);
+    assertThat(runs.requestRun(CRASHING, "a", SuspicionLevel.SUSPECT, 1)).isEqualTo(Verdict.RUN);
+    assertThat(runs.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 2)).isEqualTo(Verdict.WAIT);
+
+    runs.runEnded(CRASHING);
+    assertThat(runs.requestRun(CRASHING, "b", SuspicionLevel.SUSPECT, 3)).isEqualTo(Verdict.RUN);
+    assertThat(runs.requestRun(CRASHING, "c", SuspicionLevel.QUARANTINED, 4)).isEqualTo(Verdict.QUARANTINED);
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/ApplicationPath.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/ApplicationPath.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 import org.mustardlatch.core.balancing.Balancer;
 import org.mustardlatch.core.balancing.Candidate;
-import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.balancing.RetryBudget;
 import org.mustardlatch.core.error.ErrorCode;
 import org.mustardlatch.core.model.UpstreamId;
 import org.mustardlatch.core.time.TimerService;
@@ -42,7 +42,7 @@
   private final GatewaySettings settings;
   private final RandomGenerator random;
   private final Balancer balancer = new Balancer();
-  private final Map<String, RepeatBudget> budgets = new HashMap<>();
+  private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Map<CallerExchange, Run> runs = new HashMap<>();
   private final UpstreamProtocol protocol;
   private final GatewayMetrics metrics;
@@ -73,7 +73,7 @@
   void start(Exchange exchange) {
     Run run = new Run(exchange);
     runs.put(exchange.caller(), run);
-    budget(exchange.service().name()).earn(settings.repeatRatio() / 2);
+    budget(exchange.service().name()).deposit(settings.repeatRatio() / 2);
     run.begin();
   }
 
@@ -87,7 +87,7 @@
     return run != null;
   }
 
-  private RepeatBudget budget(String service) {
+  private RetryBudget budget(String service) {
     return budgets.computeIfAbsent(service, s -> Budgets.ofNode(settings, nodes.getAsInt()));
   }
 
@@ -123,7 +123,7 @@
     private boolean mayRepeat() {
       return exchange.route().repeatable()
           && attempts < exchange.route().maxAttempts()
-          && budget(exchange.service().name()).take();
+          && budget(exchange.service().name()).tryAcquire();
     }
 
     /** Sends the request to the best upstream that it has not been to. */
@@ -139,7 +139,7 @@
       attempts++;
       long remaining = Math.max(1, (exchange.endNanos() - now) / 1_000_000);
       var plan = new UpstreamCallPlan(target, remaining, UpstreamCallPlan.WHOLE, null, null);
-      double predicted = balancer.predictedNanos(c, now);
+      double predicted = balancer.predictedResponseNanos(c, now);
       EventLog.log(
           LogEvent.REQUEST_SENT,
           exchange.callerId(),
@@ -149,7 +149,7 @@
           (long) (predicted / 1_000_000));
       Try t = new Try(c.id(), now);
       active.add(t);
-      balancer.sent(c.id());
+      balancer.requestSent(c.id());
       t.call = fleet.pool(target).send(exchange.call(plan), t);
       watchLate(predicted);
     }
@@ -193,7 +193,7 @@
     void close() {
       runs.remove(exchange.caller());
       for (Try t : active) {
-        balancer.abandoned(t.upstream);
+        balancer.requestCancelled(t.upstream);
         if (t.call != null) {
           t.call.cancel();
         }
@@ -217,11 +217,11 @@
       active.remove(t);
       if (info.notRun()) {
         exchange.notRun();
-        balancer.refused(t.upstream, info.load(), now);
+        balancer.requestRefused(t.upstream, info.load(), now);
         refused();
         return;
       }
-      balancer.answered(t.upstream, now - t.sentNanos, info.load(), now);
+      balancer.responseReceived(t.upstream, now - t.sentNanos, info.load(), now);
       if (a.status() >= SERVER_ERRORS && serverError == null) {
         if (!active.isEmpty()) {
           serverError = a;
@@ -245,7 +245,7 @@
       if (!active.isEmpty()) {
         return;
       }
-      if (refusals < MAX_REFUSALS && budget(exchange.service().name()).take()) {
+      if (refusals < MAX_REFUSALS && budget(exchange.service().name()).tryAcquire()) {
         next("refused_by_upstream");
       } else {
         giveUp(ErrorCode.OVERLOADED, "upstreams refuse work");
@@ -254,7 +254,7 @@
 
     private void failedCall(Try t, CallFailure failure, String reason) {
       active.remove(t);
-      balancer.failed(t.upstream, timers.nanos());
+      balancer.requestFailed(t.upstream, timers.nanos());
       metrics.callFailed("whole", failure.name());
       EventLog.log(
           LogEvent.CALL_FAILED, exchange.callerId(), exchange.name(), t.upstream, failure, reason);
@@ -304,7 +304,7 @@
   }
 
   void fleetChanged() {
-    balancer.keep(
+    balancer.retainOnly(
         fleet.all().stream().map(i -> new UpstreamId(i.id())).collect(Collectors.toSet()));
   }
 }
--- a/gateway/src/main/java/org/mustardlatch/gateway/Budgets.java
+++ b/gateway/src/main/java/org/mustardlatch/gateway/Budgets.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
-import org.mustardlatch.core.balancing.RepeatBudget;
+import org.mustardlatch.core.balancing.RetryBudget;
 
 /** Shares of fleet-wide budgets, and when refused callers come back. */
 final class Budgets {
@@ -19,10 +19,10 @@
    *
    * @param nodes live nodes of the fleet as far as this one knows
    */
-  static RepeatBudget ofNode(GatewaySettings settings, int nodes) {
+  static RetryBudget ofNode(GatewaySettings settings, int nodes) {
     double units = settings.repeatExtra() / Math.max(LEAST_NODES, nodes);
     // Below one unit nothing could ever be repeated.
-    return new RepeatBudget(units / 2, Math.max(1, units));
+    return new RetryBudget(units / 2, Math.max(1, units));
   }
 
   /** Returns a time that spreads the return of refused callers over what they have left. */
--- a/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/BudgetCodec.java
@@ -10,7 +10,7 @@
   static void encode(BudgetMessage message, Envelope.Builder out) {
     switch (message) {
       case BudgetMessage.BudgetLeaseRequest m ->
-          out.getBudgetLeaseRequestBuilder().setBudget(m.budget()).setWanted(m.wanted());
+          out.getBudgetLeaseRequestBuilder().setBudget(m.budget()).setWanted(m.requestedUnits());
       case BudgetMessage.BudgetLease m ->
           out.getBudgetLeaseBuilder()
               .setBudget(m.budget())
--- a/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/LedgerCodec.java
@@ -20,12 +20,12 @@
         PeerProto.LedgerStarted.Builder b =
             out.getLedgerStartedBuilder()
                 .setKey(m.key())
-                .setAskedNonce(m.askedNonce())
+                .setAskedNonce(m.requestedNonce())
                 .setState(m.state())
                 .setNonce(m.nonce())
                 .setStatus(m.status());
-        if (m.answer() != null) {
-          b.setAnswer(m.answer());
+        if (m.response() != null) {
+          b.setAnswer(m.response());
         }
       }
       case LedgerMessage.LedgerFinish m -> {
@@ -36,8 +36,8 @@
                 .setNonce(m.nonce())
                 .setState(m.state())
                 .setStatus(m.status());
-        if (m.answer() != null) {
-          b.setAnswer(m.answer());
+        if (m.response() != null) {
+          b.setAnswer(m.response());
         }
       }
     }
--- a/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
+++ b/wire/src/main/java/org/mustardlatch/wire/MembershipCodec.java
@@ -27,7 +27,7 @@
               .addAllRumors(rumors(m.rumors()));
       case MembershipMessage.Join m -> out.getJoinBuilder().setSelf(rumor(m.self()));
       case MembershipMessage.View m ->
-          out.getViewBuilder().addAllRumors(rumors(m.rumors())).setReplyWanted(m.replyWanted());
+          out.getViewBuilder().addAllRumors(rumors(m.rumors())).setReplyWanted(m.replyRequested());
       case MembershipMessage.Suspicion m ->
           out.getSuspicionBuilder()
               .setHost(m.host().value())
--- a/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
+++ b/wire/src/main/java/org/mustardlatch/wire/NodeBudgets.java
@@ -52,22 +52,22 @@
 
   void received(HostId from, BudgetMessage message, long now) {
     switch (message) {
-      case BudgetLeaseRequest m -> send.accept(from, owner.request(from, m, now));
-      case BudgetLease m -> client.lease(m, now, this::execute);
+      case BudgetLeaseRequest m -> send.accept(from, owner.handleRequest(from, m, now));
+      case BudgetLease m -> client.leaseReceived(m, now, this::execute);
     }
   }
 
   /** Does nothing unless spends wait. */
   void tick(long now) {
-    if (client.hasWaiting()) {
+    if (client.hasWaitingSpends()) {
       client.tick(now, this::execute);
     }
   }
 
   Map<String, Object> dump(long now) {
     Map<String, Object> all = new LinkedHashMap<>();
-    all.put("granting", owner.granting());
-    all.put("held", client.held(now));
+    all.put("granting", owner.grantedBudgets());
+    all.put("held", client.availableUnits(now));
     return all;
   }
 
--- a/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
+++ b/wire/src/main/java/org/mustardlatch/wire/PeerNode.java
@@ -142,7 +142,7 @@
 
   /** The object service holds this revision; 0 with empty text when it holds none. */
   public void stored(long storedRevision, String text) {
-    tasks.onNext(() -> toRollout(new RolloutEvent.Stored(storedRevision, text)));
+    tasks.onNext(() -> toRollout(new RolloutEvent.StoreRead(storedRevision, text)));
   }
 
   /** This node stored a revision for an operator. */
@@ -251,13 +251,13 @@
 
   private void dispatch(HostId from, long senderIncarnation, PeerMessage message) {
     if (message instanceof MembershipMessage m) {
-      toMembership(new MembershipEvent.Received(from, senderIncarnation, m));
+      toMembership(new MembershipEvent.MessageReceived(from, senderIncarnation, m));
       noteRevision(from, m);
       return;
     }
-    toMembership(new MembershipEvent.Heard(from, senderIncarnation));
+    toMembership(new MembershipEvent.FrameReceived(from, senderIncarnation));
     switch (message) {
-      case RolloutMessage m -> toRollout(new RolloutEvent.Received(from, m));
+      case RolloutMessage m -> toRollout(new RolloutEvent.MessageReceived(from, m));
       case BudgetMessage m -> budgets.received(from, m, timers.nanos());
       case EvidenceMessage m -> evidence(from, senderIncarnation, m);
       default -> listener.received(from, senderIncarnation, message);
@@ -267,9 +267,9 @@
   private void noteRevision(HostId from, MembershipMessage message) {
     switch (message) {
       case MembershipMessage.Heartbeat m ->
-          toRollout(new RolloutEvent.RevisionHeard(from, m.configRevision()));
+          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       case MembershipMessage.HeartbeatAck m ->
-          toRollout(new RolloutEvent.RevisionHeard(from, m.configRevision()));
+          toRollout(new RolloutEvent.PeerRevisionReported(from, m.configRevision()));
       default -> {}
     }
   }
@@ -337,7 +337,7 @@
       case MembershipCommand.Send c -> transport.send(c.to(), c.address(), c.message());
       case MembershipCommand.SendToAddress c -> transport.sendToAddress(c.address(), c.message());
       case MembershipCommand.MembersChanged c -> membersChanged(m, c.list());
-      case MembershipCommand.Forget c -> transport.forget(c.host());
+      case MembershipCommand.NodeRemoved c -> transport.forget(c.host());
       case MembershipCommand.Suspected c -> listener.suspected(c.host());
       case MembershipCommand.Fenced c -> {
         incarnation = c.incarnation();
@@ -377,7 +377,7 @@
       tasks.onNext(
           () -> {
             toRollout(new RolloutEvent.Applied(newRevision));
-            toMembership(new MembershipEvent.RevisionInForce(newRevision));
+            toMembership(new MembershipEvent.ActiveRevisionChanged(newRevision));
           });
     } else {
       tasks.onNext(() -> toRollout(new RolloutEvent.Rejected(newRevision)));
