--- a/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/Balancer.java
@@ -16,7 +16,8 @@
  * milliseconds. Not thread-safe.
  */
 public final class Balancer {
-  // Reported load is as old as the response that carried it and is ignored after this age.
+  // Reported load is as old as the response that carried it. The requests of others in it count
+  // linearly less with age; after this age the report is ignored.
   private static final long MAX_LOAD_AGE_NANOS = 400_000_000;
   private static final long INITIAL_SERVICE_TIME_NANOS = 20_000_000;
   private static final double SERVICE_TIME_EWMA_WEIGHT = 0.2;
@@ -37,7 +38,8 @@
   private final Map<UpstreamId, UpstreamState> states = new HashMap<>();
 
   /**
-   * Returns the upstream with the shortest predicted response time, or null if there is none.
+   * Returns the upstream with the shortest predicted response time; one that is avoided after a
+   * failure or refusal only if there is no other; null if there is none.
    *
    * @param candidates upstreams that may be used
    * @param attempted upstreams that already failed this request; never chosen
--- a/core/src/main/java/org/mustardlatch/core/balancing/RetryBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/RetryBudget.java
@@ -1,8 +1,9 @@
 package org.mustardlatch.core.balancing;
 
 /**
- * Budget of extra requests (retries or hedges) that a node may send to one service, as a fraction
- * of its own requests to it. Because each node counts only its local traffic and starts with few
+ * Budget of extra requests (retries or hedges) that a node may send, as a fraction of the requests
+ * of its own callers; one for each application service, and one each for the retries and the hedges
+ * of generation requests. Because each node counts only its local traffic and starts with few
  * units, the sum over all nodes stays within the bound of the fleet without any messages.
  */
 public final class RetryBudget {
--- a/core/src/main/java/org/mustardlatch/core/balancing/package-info.java
+++ b/core/src/main/java/org/mustardlatch/core/balancing/package-info.java
@@ -1,4 +1,7 @@
-/** Load balancing and retry budgets for requests to application services. */
+/**
+ * Load balancing of requests to application services, and budgets of extra requests (retries and
+ * hedges), which generation requests use too.
+ */
 @NullMarked
 package org.mustardlatch.core.balancing;
 
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetClient.java
@@ -10,9 +10,11 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 
 /**
- * Spends units of shared budgets that their owners lease to this node. Requests as many units as
- * were spent within the last lease time. If an owner does not respond, requests go to its backup,
- * the next node in rendezvous order. Deterministic; not thread-safe.
+ * Spends units of shared budgets that their owners lease to this node. A call of {@link #spend}
+ * that the leased units do not cover waits for the next lease. Requests the units of the waiting
+ * calls and the demand expected for one lease time, less the units still leased. If an owner does
+ * not respond, requests go to its backup, the next node in rendezvous order. Deterministic; not
+ * thread-safe.
  */
 public final class BudgetClient {
   /** Expected interval between calls of {@link #tick} while spends wait. */
@@ -42,12 +44,13 @@
   /** Sets the live nodes of the region, this one included. */
   public void membersChanged(List<HostId> regionHosts) {
     owners.setHosts(regionHosts);
-    leasedBudgets.values().forEach(h -> h.candidateIndex = 0);
+    leasedBudgets.values().forEach(leased -> leased.candidateIndex = 0);
   }
 
   /**
    * Spends units. Exactly one {@link BudgetCommand.Granted} or {@link BudgetCommand.Refused} with
-   * the ticket follows, during this call or within {@link #MAX_WAIT}.
+   * the ticket follows: during this call, with a lease, or at the first {@link #tick} after {@link
+   * #MAX_WAIT}.
    *
    * @param ticket identifies the spend in the resulting command
    * @param units units to spend, greater than 0
@@ -57,37 +60,37 @@
     if (!(units > 0)) {
       throw new IllegalArgumentException("units must be greater than 0, got " + units);
     }
-    LeasedBudget h =
+    LeasedBudget leased =
         leasedBudgets.computeIfAbsent(
             budget, b -> new LeasedBudget(BudgetTerms.DEFAULT_LEASE_TIME.toNanos(), nowNanos));
-    if (h.spend(ticket, units, nowNanos)) {
+    if (leased.spend(ticket, units, nowNanos)) {
       out.accept(new BudgetCommand.Granted(ticket));
     }
-    requestLease(budget, h, nowNanos, out);
+    requestLease(budget, leased, nowNanos, out);
   }
 
   /** Adds a received lease and grants the waiting spends that it covers. */
   public void leaseReceived(BudgetLease lease, long nowNanos, Consumer<BudgetCommand> out) {
-    LeasedBudget h = leasedBudgets.get(lease.budget());
-    if (h == null) {
+    LeasedBudget leased = leasedBudgets.get(lease.budget());
+    if (leased == null) {
       return;
     }
-    h.requestPending = false;
-    h.unansweredRequests = 0;
+    leased.requestPending = false;
+    leased.unansweredRequests = 0;
     if (lease.units() > 0) {
-      h.addLease(lease.units(), lease.validNanos(), nowNanos);
-      h.grantWaiting(nowNanos, out);
+      leased.addLease(lease.units(), lease.validNanos(), nowNanos);
+      leased.grantWaiting(nowNanos, out);
     }
   }
 
   /** Refuses spends that waited for {@link #MAX_WAIT} and repeats requests without a response. */
   public void tick(long nowNanos, Consumer<BudgetCommand> out) {
     leasedBudgets.forEach(
-        (budget, h) -> {
-          h.refuseExpired(nowNanos, MAX_WAIT.toNanos(), out);
-          requestLease(budget, h, nowNanos, out);
+        (budget, leased) -> {
+          leased.refuseExpired(nowNanos, MAX_WAIT.toNanos(), out);
+          requestLease(budget, leased, nowNanos, out);
         });
-    leasedBudgets.values().removeIf(h -> h.isIdle(nowNanos));
+    leasedBudgets.values().removeIf(leased -> leased.isIdle(nowNanos));
   }
 
   /** Returns whether any spend waits for a lease. */
@@ -98,44 +101,45 @@
   /** Returns the leased and unspent units by budget, for a diagnostic dump. */
   public Map<String, Double> availableUnits(long nowNanos) {
     Map<String, Double> all = new HashMap<>();
-    leasedBudgets.forEach((budget, h) -> all.put(budget, h.availableUnits(nowNanos)));
+    leasedBudgets.forEach((budget, leased) -> all.put(budget, leased.availableUnits(nowNanos)));
     return all;
   }
 
   /** Requests a lease if more units are needed and no request is in progress. */
-  private void requestLease(String budget, LeasedBudget h, long now, Consumer<BudgetCommand> out) {
-    double requestedUnits = h.unitsToRequest(now);
+  private void requestLease(
+      String budget, LeasedBudget leased, long now, Consumer<BudgetCommand> out) {
+    double requestedUnits = leased.unitsToRequest(now);
     if (requestedUnits <= 0
-        || (h.lastRequestNanos != 0 && now - h.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
+        || (leased.lastRequestNanos != 0 && now - leased.lastRequestNanos < MIN_REQUEST_INTERVAL)) {
       return;
     }
-    if (h.requestPending) {
-      if (now - h.lastRequestNanos < REQUEST_TIMEOUT) {
+    if (leased.requestPending) {
+      if (now - leased.lastRequestNanos < REQUEST_TIMEOUT) {
         return;
       }
-      h.unansweredRequests++;
+      leased.unansweredRequests++;
     }
     List<HostId> candidates = owners.candidatesFor(budget);
     if (candidates.isEmpty()) {
       return;
     }
-    selectCandidate(h, candidates.size(), now);
-    h.requestPending = true;
-    h.lastRequestNanos = now;
+    selectCandidate(leased, candidates.size(), now);
+    leased.requestPending = true;
+    leased.lastRequestNanos = now;
     out.accept(
         new BudgetCommand.Send(
-            candidates.get(h.candidateIndex), new BudgetLeaseRequest(budget, requestedUnits)));
+            candidates.get(leased.candidateIndex), new BudgetLeaseRequest(budget, requestedUnits)));
   }
 
   /** Chooses between the owner and its backup for the next request. */
-  private static void selectCandidate(LeasedBudget h, int candidates, long now) {
-    if (h.candidateIndex > 0 && now - h.backupSinceNanos > BACKUP_PERIOD) {
-      h.candidateIndex = 0;
-      h.unansweredRequests = 0;
-    } else if (h.unansweredRequests >= UNANSWERED_LIMIT) {
-      h.candidateIndex = (h.candidateIndex + 1) % candidates;
-      h.backupSinceNanos = now;
-      h.unansweredRequests = 0;
+  private static void selectCandidate(LeasedBudget leased, int candidateCount, long now) {
+    if (leased.candidateIndex > 0 && now - leased.backupSinceNanos > BACKUP_PERIOD) {
+      leased.candidateIndex = 0;
+      leased.unansweredRequests = 0;
+    } else if (leased.unansweredRequests >= UNANSWERED_LIMIT) {
+      leased.candidateIndex = (leased.candidateIndex + 1) % candidateCount;
+      leased.backupSinceNanos = now;
+      leased.unansweredRequests = 0;
     }
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/BudgetOwner.java
@@ -8,7 +8,8 @@
 import org.mustardlatch.core.peer.BudgetMessage.BudgetLeaseRequest;
 
 /**
- * Grants leases of the budgets that this node owns (design section 4.11).
+ * Grants leases of the budgets that this node owns, and of others at half the rate (design section
+ * 4.11).
  *
  * <p>Error bound, with rate R and lease time L: within any time T the nodes of a region spend at
  * most R(T + 2L), because a bucket accumulates up to RL and a lease can be spent up to L after it
@@ -27,12 +28,12 @@
     this.self = self;
   }
 
-  /** Sets the terms of all budgets of the region; other budgets are no longer granted. */
+  /** Sets the terms of all budgets of the region; leases of other budgets are no longer granted. */
   public void configure(Map<String, BudgetTerms> newTerms) {
     terms = Map.copyOf(newTerms);
     ownedBudgets.keySet().retainAll(terms.keySet());
     ownedBudgets.forEach(
-        (name, budget) -> budget.terms(terms.getOrDefault(name, BudgetTerms.perSecond(0))));
+        (name, budget) -> budget.setTerms(terms.getOrDefault(name, BudgetTerms.perSecond(0))));
   }
 
   /** Sets the live nodes of the region, this one included. */
@@ -58,7 +59,10 @@
     return new BudgetLease(name, units, t.leaseTime().toNanos());
   }
 
-  /** Returns the names of the budgets from which this node grants leases, sorted. */
+  /**
+   * Returns the names of the configured budgets for which this node has handled lease requests, as
+   * owner or as backup, sorted.
+   */
   public List<String> grantedBudgets() {
     return ownedBudgets.keySet().stream().sorted().toList();
   }
--- a/core/src/main/java/org/mustardlatch/core/budget/LeasedBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/LeasedBudget.java
@@ -12,9 +12,9 @@
     double units;
     final long expiresNanos;
 
-    Lease(double units, long untilNanos) {
+    Lease(double units, long expiresNanos) {
       this.units = units;
-      this.expiresNanos = untilNanos;
+      this.expiresNanos = expiresNanos;
     }
   }
 
@@ -22,14 +22,24 @@
 
   private final ArrayDeque<Lease> leases = new ArrayDeque<>();
   private final ArrayDeque<WaitingSpend> waitingSpends = new ArrayDeque<>();
+
+  /** Units requested by spends in the previous window; 0 if there were none. */
   private double previousDemand;
+
+  /** Units requested by spends in the current window so far. */
   private double currentDemand;
+
+  /** Length of the demand windows: the lease time last received, or the default one. */
   private long windowNanos;
+
   private long windowStartNanos;
   long lastRequestNanos;
   boolean requestPending;
   int unansweredRequests;
+
+  /** Receiver of lease requests: 0 is the owner of the budget, 1 its backup. */
   int candidateIndex;
+
   long backupSinceNanos;
 
   LeasedBudget(long windowNanos, long now) {
@@ -79,7 +89,7 @@
     return leases.stream().mapToDouble(l -> l.units).sum();
   }
 
-  /** Returns the units expected to be spent within one lease time. */
+  /** Returns the demand expected for one lease time: the larger one of the last two windows. */
   double expectedUnits(long now) {
     recordDemand(0, now);
     return Math.max(previousDemand, currentDemand);
@@ -97,7 +107,7 @@
   }
 
   /**
-   * Returns whether no units are leased, no spends wait and none were made within the last two
+   * Returns whether no units are leased, no spends wait and there was no demand in the last two
    * windows.
    */
   boolean isIdle(long now) {
--- a/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
+++ b/core/src/main/java/org/mustardlatch/core/budget/OwnedBudget.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import org.mustardlatch.core.model.HostId;
 
-/** Token bucket whose tokens are leased to clients, shared by max-min fairness. */
+/**
+ * Token bucket of one budget. Its tokens are the units of the budget; they are leased to clients
+ * and shared by max-min fairness.
+ */
 final class OwnedBudget {
   private record Demand(double units, long requestedNanos) {}
 
@@ -23,7 +26,7 @@
     this.halfRateUntilNanos = now + terms.leaseTime().toNanos();
   }
 
-  void terms(BudgetTerms newTerms) {
+  void setTerms(BudgetTerms newTerms) {
     terms = newTerms;
     tokens = Math.min(tokens, newTerms.capacity());
   }
@@ -71,8 +74,8 @@
   }
 
   /**
-   * Returns the largest lease size such that one lease of at most this size for each client fits
-   * the capacity.
+   * Returns the largest limit such that the last requests of all clients, each reduced to the
+   * limit, together fit the capacity; {@link Double#MAX_VALUE} if they fit unreduced.
    */
   private double fairShare() {
     double[] requestedUnits =
--- a/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/FailureDetector.java
@@ -18,7 +18,10 @@
 final class FailureDetector {
   private final MembershipState state;
   private final RumorMerger merger;
+
+  /** Whether all neighbours, at least two, are silent. */
   private boolean isolated;
+
   private long isolatedSinceNanos;
 
   FailureDetector(MembershipState state, RumorMerger merger) {
@@ -59,9 +62,9 @@
   }
 
   /**
-   * Restarts the silence timers of all neighbours and the refutation timers of all suspects. Called
-   * when this node could not receive frames, so that the silence before says nothing about the
-   * peers.
+   * Restarts the silence timers of all neighbours and the refutation timers of all suspects, and
+   * discards all votes. Called after a time in which this node could not receive frames, because
+   * the silence during it says nothing about the peers.
    */
   void restartSilenceTimers(long now) {
     for (Peer p : state.peers.values()) {
@@ -76,18 +79,18 @@
   }
 
   private void updateRegionReachability(long now) {
-    Map<RegionId, Boolean> silentRegions = new HashMap<>();
+    Map<RegionId, Boolean> allSilentByRegion = new HashMap<>();
     for (Peer p : state.neighbours()) {
       if (p.isLive() && !p.rumor.region().equals(state.self.region())) {
-        silentRegions.merge(
+        allSilentByRegion.merge(
             p.rumor.region(),
             now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER,
             Boolean::logicalAnd);
       }
     }
-    silentRegions.forEach(
-        (region, all) -> {
-          if (all) {
+    allSilentByRegion.forEach(
+        (region, allSilent) -> {
+          if (allSilent) {
             state.regionReachability.markUnreachable(region, now);
           }
         });
@@ -95,14 +98,14 @@
 
   private void updateIsolation(long now) {
     Collection<Peer> neighbours = state.neighbours();
-    boolean nothingHeard =
+    boolean allSilent =
         neighbours.size() > 1
             && neighbours.stream()
                 .allMatch(p -> now - p.silentSinceNanos > MembershipConstants.SILENT_AFTER);
-    if (nothingHeard && !isolated) {
+    if (allSilent && !isolated) {
       isolatedSinceNanos = now;
     }
-    isolated = nothingHeard;
+    isolated = allSilent;
   }
 
   /**
@@ -122,7 +125,10 @@
     }
   }
 
-  /** Votes against a silent peer; marks it suspect once another observer agrees. */
+  /**
+   * Votes against a silent peer; marks it suspect once another observer agrees, or without
+   * agreement after {@link MembershipConstants#LONE_VOTE_DELAY}.
+   */
   private void voteIfSilent(Peer p, long now, Consumer<MembershipCommand> out) {
     RegionId region = p.rumor.region();
     long limit =
@@ -169,6 +175,7 @@
     state.sendHeartbeat(p, now, out);
   }
 
+  /** Declares suspects dead that did not refute in time, and removes old records of dead nodes. */
   private void expireStates(long now, Consumer<MembershipCommand> out) {
     List<Peer> expired = new ArrayList<>();
     for (Peer p : state.peers.values()) {
@@ -186,7 +193,7 @@
         }
         case ALIVE -> {}
       }
-      if (p.isLive() && state.regionReachability.isPurgeDue(p.rumor.region(), now)) {
+      if (p.isLive() && state.regionReachability.isPresumedDead(p.rumor.region(), now)) {
         markDead(p, now, out);
       }
     }
@@ -195,9 +202,9 @@
 
   /** Returns whether a suspect must not be declared dead yet. */
   private boolean isDeathDeferred(Peer p, long now) {
-    boolean recentlyHeard =
+    boolean receivedRecently =
         state.isNeighbour(p.host()) && now - p.silentSinceNanos < MembershipConstants.SILENT_AFTER;
-    return recentlyHeard
+    return receivedRecently
         || isLikelyIsolated(now)
         || state.regionReachability.isUnreachable(p.rumor.region());
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/MemberList.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MemberList.java
@@ -10,7 +10,7 @@
  *
  * @param members this node and all others that are not dead and have not left, sorted by host name;
  *     includes suspected nodes and, for the first 60 s, those of unreachable regions
- * @param unreachableRegions regions from which no frames arrive
+ * @param unreachableRegions regions in which all neighbours of this node are silent
  */
 public record MemberList(List<Member> members, Set<RegionId> unreachableRegions) {
   /** Copies the collections. */
--- a/core/src/main/java/org/mustardlatch/core/membership/Membership.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Membership.java
@@ -16,8 +16,8 @@
 
 /**
  * Membership protocol of one node (design section 4.8): keeps the list of live nodes by heartbeats,
- * rumors and periodic comparison of views. Deterministic: the same events, times and random numbers
- * give the same commands. Not thread-safe.
+ * rumors and periodic comparison of views (the rumors that a node has on record). Deterministic:
+ * the same events, times and random numbers give the same commands. Not thread-safe.
  */
 public final class Membership {
   /** Expected interval between {@link MembershipEvent.Tick}s. */
@@ -115,7 +115,7 @@
     return p == null ? null : p.rumor.address();
   }
 
-  /** Returns the last reported state of a node, or null if the host is unknown. */
+  /** Returns the state of a node in the view of this one, or null if the host is unknown. */
   public @Nullable State state(HostId host) {
     Peer p = state.peers.get(host);
     return p == null ? null : p.state();
@@ -249,6 +249,7 @@
     }
   }
 
+  /** Returns the rumors of this view that override the given ones or are missing from them. */
   private List<Rumor> newerThan(List<Rumor> theirs) {
     Map<HostId, Rumor> reportedByHost = new HashMap<>();
     theirs.forEach(r -> reportedByHost.put(r.host(), r));
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipConstants.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipConstants.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 
 /**
- * Time limits, in nanoseconds, and other bounds of the membership protocol (design section 4.8).
+ * Periods and time limits, in nanoseconds, and other bounds of the membership protocol (design
+ * section 4.8).
  */
 final class MembershipConstants {
   static final long HEARTBEAT_PERIOD = Duration.ofSeconds(1).toNanos();
@@ -15,7 +16,8 @@
   static final long PROBE_AFTER = Duration.ofMillis(1_400).toNanos();
 
   /**
-   * Silence after which an observer votes: three heartbeat periods and a fifth of one for delay.
+   * Silence after which a peer counts as silent, and an observer in its region votes against it:
+   * three heartbeat periods and a fifth of one for delay.
    */
   static final long SILENT_AFTER = Duration.ofMillis(3_200).toNanos();
 
@@ -41,7 +43,7 @@
   static final long UNREACHABLE_GRACE_PERIOD = Duration.ofSeconds(60).toNanos();
 
   /** Time after which the nodes of an unreachable region are declared dead. */
-  static final long UNREACHABLE_PURGE_DELAY = Duration.ofHours(1).toNanos();
+  static final long UNREACHABLE_DEAD_AFTER = Duration.ofHours(1).toNanos();
 
   /** Gap since the last tick above which the process is considered to have been paused. */
   static final long PAUSE_THRESHOLD = Duration.ofSeconds(2).toNanos();
@@ -71,8 +73,8 @@
   static final long VOTE_PERIOD = Duration.ofSeconds(1).toNanos();
 
   /**
-   * Maximum number of rumors in one heartbeat; 32 of about 60 bytes allow a whole region to refute
-   * suspicions within 5 s.
+   * Maximum number of queued rumors in one heartbeat or acknowledgement; 32 of about 60 bytes allow
+   * a whole region to refute suspicions within 5 s.
    */
   static final int MAX_RUMORS = 32;
 
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipEvent.java
@@ -30,6 +30,6 @@
   /** Change of the active manifest revision of this node, which heartbeats carry. */
   record ActiveRevisionChanged(long revision) implements MembershipEvent {}
 
-  /** Announcement that this node is about to stop. */
+  /** Request to notify the other nodes that this node leaves, made before it stops. */
   record LeaveRequested() implements MembershipEvent {}
 }
--- a/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/MembershipState.java
@@ -28,6 +28,8 @@
   long refutationCounter;
   long activeRevision;
   boolean leaving;
+
+  /** Time until which heartbeats and acknowledgements carry this node's own rumor. */
   long selfRumorUntilNanos;
 
   /** Whether the list of live nodes may differ from the last reported one. */
@@ -147,7 +149,10 @@
             new MembershipMessage.HeartbeatAck(sequence, activeRevision, rumorsFor(p, now))));
   }
 
-  /** Returns the rumors that the next message to a peer carries. */
+  /**
+   * Returns the rumors that the next heartbeat or acknowledgement to a peer carries. A peer that is
+   * not recorded as alive receives the rumor about itself, so that it can refute it.
+   */
   List<Rumor> rumorsFor(@Nullable Peer to, long now) {
     List<Rumor> result = rumors.take(MembershipConstants.MAX_RUMORS, overlay.size());
     if (now < selfRumorUntilNanos && result.stream().noneMatch(r -> r.host().equals(self.host()))) {
--- a/core/src/main/java/org/mustardlatch/core/membership/ObserverOverlay.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/ObserverOverlay.java
@@ -14,15 +14,22 @@
 import org.mustardlatch.core.model.RegionId;
 
 /**
- * Overlay that assigns observers to nodes. A node has 8 observers: 6 of its own region and 2 of
- * other regions, the first ones in rendezvous order for its name; if one group has too few nodes,
- * the other fills the remaining places. Updated incrementally as nodes are added and removed,
- * because ranking all pairs again takes 390 times as long.
+ * Overlay that assigns observers to nodes. The observers of a node receive its heartbeats and
+ * detect its failure. A node has 8 observers: 6 of its own region and 2 of other regions, the first
+ * ones in rendezvous order for its name; if one group has too few nodes, the other fills the
+ * remaining places. Updated incrementally as nodes are added and removed, because ranking all pairs
+ * again takes 390 times as long.
  */
 final class ObserverOverlay {
   static final int OBSERVERS = 8;
   static final int REMOTE_OBSERVERS = 2;
 
+  /**
+   * Node with its best candidates for observers.
+   *
+   * @param local candidates of its own region with the highest scores, at most {@link #OBSERVERS}
+   * @param remote candidates of other regions with the highest scores, at most {@link #OBSERVERS}
+   */
   private record Node(
       RegionId region,
       long hash,
--- a/core/src/main/java/org/mustardlatch/core/membership/Peer.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/Peer.java
@@ -6,8 +6,9 @@
 import org.mustardlatch.core.peer.MembershipMessage.Rumor;
 import org.mustardlatch.core.peer.MembershipMessage.State;
 
-/** State that this node keeps about another node: its last rumor, timers and votes. */
+/** State that this node keeps about another node: the rumor on record, timers and votes. */
 final class Peer {
+  /** Merged from received rumors and from the decisions of this node's failure detector. */
   Rumor rumor;
 
   /**
@@ -43,7 +44,7 @@
     return rumor.state();
   }
 
-  /** Returns whether the last reported state is ALIVE or SUSPECT. */
+  /** Returns whether the recorded state is ALIVE or SUSPECT. */
   boolean isLive() {
     return rumor.state() == State.ALIVE || rumor.state() == State.SUSPECT;
   }
--- a/core/src/main/java/org/mustardlatch/core/membership/RegionReachability.java
+++ b/core/src/main/java/org/mustardlatch/core/membership/RegionReachability.java
@@ -40,8 +40,8 @@
    * Returns whether the region has been unreachable for so long that its nodes are to be declared
    * dead.
    */
-  boolean isPurgeDue(RegionId region, long now) {
-    return unreachableNanos(region, now) > MembershipConstants.UNREACHABLE_PURGE_DELAY;
+  boolean isPresumedDead(RegionId region, long now) {
+    return unreachableNanos(region, now) > MembershipConstants.UNREACHABLE_DEAD_AFTER;
   }
 
   boolean allReachable() {
--- a/core/src/main/java/org/mustardlatch/core/peer/AdmissionMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/AdmissionMessage.java
@@ -17,6 +17,7 @@
    * Requests a reservation.
    *
    * @param cell cell that receives the request
+   * @param prefixBlocks hashes of the leading blocks of the prompt, for prefix caches
    * @param firstTokenBudgetNanos time left until the first-token deadline, nanoseconds
    * @param finalBudgetNanos time left until the final deadline, nanoseconds
    * @param excluded upstreams that must not be used, for example after a failure
--- a/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/BudgetMessage.java
@@ -6,7 +6,8 @@
    * Requests units from the owner of a budget.
    *
    * @param budget name of the budget, for example {@code workspace/vevstua}
-   * @param requestedUnits units that the node expects to spend within one lease time
+   * @param requestedUnits units of the spends that wait and of the demand expected for one lease
+   *     time, less the units still leased
    */
   record BudgetLeaseRequest(String budget, double requestedUnits) implements BudgetMessage {}
 
--- a/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/LedgerMessage.java
@@ -21,10 +21,11 @@
   /**
    * Responds to a {@link LedgerStart} or {@link LedgerFinish}.
    *
+   * @param requestedNonce nonce of the message that this responds to
    * @param state STARTED, FINISHED, UNKNOWN or CANCELLED, the state of the record; REFUSED if the
-   *     owner made no record and never will for this message; REUSED if the key was used with
-   *     another request digest
-   * @param nonce nonce of the requested attempt if the record is its own, otherwise empty
+   *     writer of the shard made no record and never will for this message; REUSED if the key was
+   *     used with another request digest
+   * @param nonce the same nonce if the record is of that attempt, otherwise empty
    * @param status HTTP status of the recorded response; 0 if there is none
    * @param response recorded response, or null
    */
@@ -38,8 +39,8 @@
       implements LedgerMessage {}
 
   /**
-   * Records the end of an attempt. Acknowledged by {@link LedgerStarted} only once the record is
-   * stored.
+   * Requests a record that the attempt ended. Acknowledged by {@link LedgerStarted} only once the
+   * record is stored.
    *
    * @param state FINISHED or UNKNOWN
    */
--- a/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
+++ b/core/src/main/java/org/mustardlatch/core/peer/MembershipMessage.java
@@ -7,7 +7,10 @@
 
 /** Messages of the membership protocol. */
 public sealed interface MembershipMessage extends PeerMessage {
-  /** State of a node as reported by another. */
+  /**
+   * State of a node in the view of another. Of two rumors with the same incarnation and refutation
+   * counter, the one with the later state in this order overrides the other.
+   */
   enum State {
     ALIVE,
     SUSPECT,
@@ -37,7 +40,7 @@
   /**
    * Shows that the sender is alive, and carries rumors.
    *
-   * @param sequence number of heartbeats that the sender has sent
+   * @param sequence sequence number; counts the heartbeats of the sender to all receivers
    * @param configRevision active manifest revision of the sender; 0 for none
    */
   record Heartbeat(long sequence, long configRevision, List<Rumor> rumors)
@@ -48,7 +51,12 @@
     }
   }
 
-  /** Acknowledges a heartbeat. */
+  /**
+   * Acknowledges a heartbeat.
+   *
+   * @param sequence sequence number of the acknowledged heartbeat
+   * @param configRevision active manifest revision of the sender; 0 for none
+   */
   record HeartbeatAck(long sequence, long configRevision, List<Rumor> rumors)
       implements MembershipMessage {
     /** Copies the list. */
@@ -57,7 +65,7 @@
     }
   }
 
-  /** Requests the view of the receiver; sent by a node that joins. */
+  /** Requests the view of the receiver; sent by a node that joins, and periodically afterwards. */
   record Join(Rumor self) implements MembershipMessage {}
 
   /**
--- a/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRunPermissions.java
+++ b/core/src/main/java/org/mustardlatch/core/quarantine/SuspectRunPermissions.java
@@ -6,8 +6,8 @@
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 
 /**
- * Permissions granted by the owner of suspect fingerprints. At most one attempt of a suspect runs
- * at a time, so that a second crash is recorded before the next attempt starts.
+ * Permissions to run suspect fingerprints, granted by the node that owns them. At most one attempt
+ * of a suspect runs at a time, so that a second crash is recorded before the next attempt starts.
  */
 public final class SuspectRunPermissions {
   /** Time after which a permission expires if no end of the run is reported, nanoseconds. */
@@ -35,8 +35,10 @@
     if (level == CrashEvidence.SuspicionLevel.CLEAN) {
       return Verdict.RUN;
     }
-    Permission run = permissions.get(fingerprint);
-    if (run != null && nowNanos < run.expiresNanos() && !run.attempt().equals(attempt)) {
+    Permission permission = permissions.get(fingerprint);
+    if (permission != null
+        && nowNanos < permission.expiresNanos()
+        && !permission.attempt().equals(attempt)) {
       return Verdict.WAIT;
     }
     permissions.put(fingerprint, new Permission(attempt, nowNanos + PERMISSION_LIFETIME_NANOS));
@@ -50,6 +52,6 @@
 
   /** Removes expired permissions. */
   public void expire(long nowNanos) {
-    permissions.values().removeIf(r -> nowNanos >= r.expiresNanos());
+    permissions.values().removeIf(p -> nowNanos >= p.expiresNanos());
   }
 }
--- a/core/src/main/java/org/mustardlatch/core/rollout/AcceptanceRule.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/AcceptanceRule.java
@@ -21,8 +21,8 @@
   private AcceptanceRule() {}
 
   /**
-   * Returns whether the revision is active on three reachable nodes on different hosts (all, if
-   * fewer are reachable), among them one in each reachable region.
+   * Returns whether the revision or a later one is active on three reachable nodes on different
+   * hosts (all, if fewer are reachable), among them one in each reachable region.
    *
    * @param revisions active revision by host, this node's included
    */
--- a/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Readiness.java
@@ -30,6 +30,7 @@
     }
   }
 
+  /** Returns whether the node may serve requests with the given active revision. */
   boolean isReady(long revision, long now) {
     boolean recent = storeRead || (peerReported && now - highestSinceNanos >= PEERS_ONLY_WAIT);
     return revision > 0 && revision >= highestRevision && recent;
--- a/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
+++ b/core/src/main/java/org/mustardlatch/core/rollout/Rollout.java
@@ -38,9 +38,9 @@
   private static final String WATCH_KEY = "watch";
 
   /**
-   * Time without a response after which the revision is requested from another holder. It allows
-   * eight attempts within the bound of 4 s; with 900 ms and 10% message loss a few nodes in a
-   * thousand exceeded the bound.
+   * Time without a response after which the revision is requested from another node that has it. It
+   * allows eight attempts within the bound of 4 s; with 900 ms and 10% message loss a few nodes in
+   * a thousand exceeded the bound.
    */
   private static final long FETCH_TIMEOUT = Duration.ofMillis(400).toNanos();
 
@@ -52,18 +52,38 @@
 
   private final HostId self;
   private final Readiness readiness = new Readiness();
+
+  /** Active revision by host; that of this node only as of its last acceptance check. */
   private final Map<HostId, Long> peerRevisions = new TreeMap<>();
+
   private MemberList members = new MemberList(List.of(), Set.of());
   private List<HostId> neighbours = List.of();
+
+  /** Active revision; 0 for none. */
   private long revision;
+
   private String text = "";
   private String digest = "";
+
+  /** Revision of a {@link RolloutCommand.Apply} whose result is not reported yet; 0 for none. */
   private long applyingRevision;
+
   private String applyingText = "";
+
+  /** Highest revision that this node could not apply. */
   private long rejectedRevision;
+
+  /** Revision that this node published and that is not accepted yet; 0 for none. */
   private long awaitedRevision;
+
   private @Nullable Fetch fetch;
+
+  /**
+   * Node that sent the revision being applied; null if it was read from the object service or
+   * published by this node.
+   */
   private @Nullable HostId applyingSource;
+
   private boolean watching;
   private boolean ready;
 
@@ -196,8 +216,8 @@
   }
 
   /**
-   * Returns the next holder of the revision after the host that did not respond; null if there is
-   * none.
+   * Returns the next host with the revision after the one that did not respond, or the first such
+   * host; null if there is none.
    */
   private @Nullable HostId nextHolder(Fetch f) {
     List<HostId> holders =
--- a/core/src/test/java/org/mustardlatch/core/fleet/BudgetFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/BudgetFleetTest.java
@@ -27,7 +27,7 @@
   private FleetSimulation startFleet(int seed) {
     FleetSimulation fleet = new FleetSimulation(seed);
     for (int i = 0; i < FLEET_SIZE; i++) {
-      fleet.start("n" + i, "r0", fleet.seeds());
+      fleet.start("n" + i, "r0", fleet.joinAddresses());
     }
     fleet.runningNodes().forEach(this::configure);
     fleet.runUntilMembershipAgrees(Duration.ofSeconds(20));
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Guards the bound R(T + 2L), and against units that are leased to nodes without demand and
-   * expire unspent when demand shifts.
+   * Guards the bound R(T + 2L) of {@code BudgetOwner}, and against units that are leased to nodes
+   * without demand and expire unspent when demand shifts.
    */
   @Test
   void shiftingDemandSpendsAtMostTheBoundAndAtLeast70PercentOfTheRate() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Guards the bound RL of a change of owner, and against a budget that no node grants after its
-   * owner was killed.
+   * Guards the bound RL of a change of owner (see {@code BudgetOwner}), and against a budget that
+   * no node grants after its owner was killed.
    */
   @Test
   void killedOwnerAddsAtMostOneLeaseTimeOfUnitsAndGrantsContinue() {
--- a/core/src/test/java/org/mustardlatch/core/fleet/FleetBench.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/FleetBench.java
@@ -28,7 +28,7 @@
     long startNanos = System.nanoTime();
     FleetSimulation fleet = new FleetSimulation(seed);
     for (int i = 0; i < size; i++) {
-      fleet.start("n" + i, i % 2 == 0 ? "r0" : "r1", fleet.seeds());
+      fleet.start("n" + i, i % 2 == 0 ? "r0" : "r1", fleet.joinAddresses());
       fleet.advance(Duration.ofMillis(20));
     }
     double joined = fleet.runUntilMembershipAgrees(Duration.ofSeconds(60));
--- a/core/src/test/java/org/mustardlatch/core/fleet/FleetSimulation.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/FleetSimulation.java
@@ -23,8 +23,13 @@
   final Random random;
   final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
   double lossProbability;
+
+  /** Whether all messages from the first node to the second are lost. */
   BiPredicate<SimulatedNode, SimulatedNode> isPartitioned = (a, b) -> false;
+
+  /** Whether the object service is down, so that nodes cannot read it. */
   boolean storeDown;
+
   long storedRevision;
   String storedText = "";
   long messagesSent;
@@ -34,19 +39,20 @@
     random = new Random(seed);
   }
 
-  /** Starts nodes {@code from} to {@code to - 1} in two regions, all with the same three seeds. */
+  /** Starts nodes {@code from} to {@code to - 1} in two regions, with the same join addresses. */
   void startAll(int from, int to) {
     for (int i = from; i < to; i++) {
-      start("n" + i, i % 2 == 0 ? "r0" : "r1", seeds());
+      start("n" + i, i % 2 == 0 ? "r0" : "r1", joinAddresses());
     }
   }
 
-  List<String> seeds() {
+  /** Returns the addresses of the first three nodes, through which nodes join. */
+  List<String> joinAddresses() {
     return List.of("n0:1", "n1:1", "n2:1");
   }
 
-  SimulatedNode start(String name, String region, List<String> seeds) {
-    SimulatedNode n = new SimulatedNode(this, name, region, nextIncarnation++, seeds);
+  SimulatedNode start(String name, String region, List<String> joinAddresses) {
+    SimulatedNode n = new SimulatedNode(this, name, region, nextIncarnation++, joinAddresses);
     nodes.put(name, n);
     n.start();
     return n;
--- a/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/MembershipFleetTest.java
@@ -16,7 +16,7 @@
   private static final int SEEDS = 40;
   private static final int FLEET_SIZE = 14;
 
-  /** Runs a schedule for every seed on a fleet whose nodes have all joined. */
+  /** Runs a schedule of faults for every random seed on a fleet whose nodes have all joined. */
   private static void forSeeds(int seeds, int size, Consumer<FleetSimulation> schedule) {
     for (int seed : Seeds.of("fleet", seeds)) {
       FleetSimulation fleet = new FleetSimulation(seed);
@@ -187,10 +187,10 @@
           List<SimulatedNode> old = new ArrayList<>(fleet.runningNodes());
           for (int i = 0; i < old.size(); i++) {
             old.get(i).leave();
-            String seed =
+            String joinAddress =
                 fleet.nodeAt((i + 1) % FLEET_SIZE + (i + 1 < FLEET_SIZE ? 0 : FLEET_SIZE)).host()
                     + ":1";
-            fleet.start("m" + i, old.get(i).region(), List.of(seed));
+            fleet.start("m" + i, old.get(i).region(), List.of(joinAddress));
             fleet.advance(Duration.ofSeconds(3));
           }
           fleet.runUntilMembershipAgrees(Duration.ofSeconds(20));
@@ -212,7 +212,7 @@
           fleet.nodeAt(1).kill();
           fleet.nodeAt(2).kill();
           for (int i = 0; i < 4; i++) {
-            fleet.start("j" + i, i % 2 == 0 ? "r0" : "r1", fleet.seeds());
+            fleet.start("j" + i, i % 2 == 0 ? "r0" : "r1", fleet.joinAddresses());
           }
           fleet.runUntilMembershipAgrees(Duration.ofSeconds(25));
         });
--- a/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/RolloutFleetTest.java
@@ -10,8 +10,8 @@
 import org.mustardlatch.core.rollout.RolloutEvent;
 
 /**
- * Tests invariant I8: an accepted configuration is active on all nodes within 4 s and never
- * reverts.
+ * Tests invariant I8 of the design: an accepted configuration is active on all nodes within 4 s and
+ * never reverts.
  */
 class RolloutFleetTest {
   private static final int SEEDS = 60;
@@ -28,6 +28,7 @@
     return fleet;
   }
 
+  /** Publishes a revision and advances time until the publisher reports that it is accepted. */
   private static void publish(FleetSimulation fleet, SimulatedNode publisher, long revision) {
     fleet.storedRevision = revision;
     fleet.storedText = "text " + revision;
@@ -64,8 +65,8 @@
         }
         long accepted = revision;
         List<SimulatedNode> before = List.copyOf(fleet.runningNodes());
-        fleet.start("f" + revision + "a", "r0", fleet.seeds());
-        fleet.start("f" + revision + "b", "r1", fleet.seeds());
+        fleet.start("f" + revision + "a", "r0", fleet.joinAddresses());
+        fleet.start("f" + revision + "b", "r1", fleet.joinAddresses());
         fleet.advance(ROLLOUT_BOUND);
         for (SimulatedNode n : before) {
           assertWithMessage("seed %s, %s", seed, n).that(n.rollout.revision()).isEqualTo(accepted);
@@ -88,7 +89,7 @@
     for (int seed : Seeds.of("fleet", SEEDS)) {
       FleetSimulation fleet = startFleet(seed);
       fleet.storeDown = true;
-      SimulatedNode fresh = fleet.start("fresh", "r1", fleet.seeds());
+      SimulatedNode fresh = fleet.start("fresh", "r1", fleet.joinAddresses());
       publish(fleet, fleet.nodeAt(fleet.random.nextInt(FLEET_SIZE)), 2);
       for (int i = 0; i < 200; i++) {
         fleet.advance(Duration.ofMillis(50));
--- a/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
+++ b/core/src/test/java/org/mustardlatch/core/fleet/SimulatedNode.java
@@ -52,14 +52,18 @@
   double spent;
 
   SimulatedNode(
-      FleetSimulation fleet, String name, String region, long incarnation, List<String> seeds) {
+      FleetSimulation fleet,
+      String name,
+      String region,
+      long incarnation,
+      List<String> joinAddresses) {
     this.fleet = fleet;
     this.self =
         new NodeIdentity(
             new HostId(name), new RegionId(region), new ZoneId(region + "-z"), name + ":1");
     long now = fleet.time.nanos();
     this.membership =
-        new Membership(self, incarnation, seeds, new Random(fleet.random.nextLong()), now);
+        new Membership(self, incarnation, joinAddresses, new Random(fleet.random.nextLong()), now);
     this.rollout = new Rollout(self.host());
     this.budgetOwner = new BudgetOwner(self.host());
   }
--- a/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
+++ b/core/src/test/java/org/mustardlatch/core/quarantine/CrashEvidenceTest.java
@@ -8,7 +8,10 @@
 import org.mustardlatch.core.peer.EvidenceMessage.Verdict;
 import org.mustardlatch.core.quarantine.CrashEvidence.SuspicionLevel;
 
-/** Tests which crashes quarantine a fingerprint, and for how long. */
+/**
+ * Tests which crashes quarantine a fingerprint, for how long, and how many attempts of a suspect
+ * may run.
+ */
 class CrashEvidenceTest {
   private static final Fingerprint CRASHING = fingerprint(1);
   private static final Fingerprint OTHER = fingerprint(2);
